--- a/foxspread/__main__.py
+++ b/foxspread/__main__.py
@@ -20,18 +20,19 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     # Not asyncio's own, which writes to standard error and would block when that is full.
-    loop.set_exception_handler(lambda loop, found: logger.opt(exception=found.get("exception")).error(
-        "{}", found.get("message")))
+    loop.set_exception_handler(
+        lambda loop, found: logger.opt(exception=found.get("exception")).error("{}", found.get("message"))
+    )
     rules = None
     if added.agreed is not None:
-        from foxspread.agreed.party import Party   # the bare sidecar does not load it
+        from foxspread.agreed.party import Party  # the bare sidecar does not load it
 
         rules = Party(added.agreed, told.name, told.decisions)
     sidecar = Sidecar(loop, told, learnt=added.learnt, rules=rules)
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar)
     gc.collect()
-    gc.freeze()   # what is loaded stays: collections look at what comes and goes only,
-    gc.set_threshold(10_000, 20, 20)   # and seldom: little of it is in cycles
+    gc.freeze()  # what is loaded stays: collections look at what comes and goes only,
+    gc.set_threshold(10_000, 20, 20)  # and seldom: little of it is in cycles
     await sidecar.run(stop)
 
 
@@ -44,7 +45,7 @@
 
 
 def main(args: list[str] | None = None) -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)   # by itself it ends a process; until there is a reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # by itself it ends a process; until there is a reload
     try:
         if args and (len(args) != 2 or args[0] != "--operator"):
             raise config.ConfigError(f"only --operator FILE may follow, not {' '.join(args)}")
@@ -57,10 +58,10 @@
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(told, added))
-    except config.ConfigError as error:   # what shows only in the descriptor passed
+    except config.ConfigError as error:  # what shows only in the descriptor passed
         print(f"foxspread: {error}", file=sys.stderr)
         return 2
-    except OSError as error:   # the address cannot be had
+    except OSError as error:  # the address cannot be had
         print(f"foxspread: {error.strerror or error}", file=sys.stderr)
         return 1
     finally:
--- a/foxspread/carry.py
+++ b/foxspread/carry.py
@@ -10,7 +10,7 @@
 from foxspread.model import ListedServer, Mark
 from foxspread.sums import Decaying, Mean
 
-MOST = 4000   # marks in a record, those that stand longest first
+MOST = 4000  # marks in a record, those that stand longest first
 
 
 class Learner(Protocol):
@@ -37,8 +37,15 @@
     for what in sorted(it.marks.marked, key=lambda what: (-it.marks.of[what].until, str(what)))[:MOST]:
         server, category = (what, None) if isinstance(what, str) else what
         mark = it.marks.of[what]
-        marks.append({"server": server, "started": it.servers.known[server].started, "category": category,
-                      "until": mark.until, "spell": mark.spell})
+        marks.append(
+            {
+                "server": server,
+                "started": it.servers.known[server].started,
+                "category": category,
+                "until": mark.until,
+                "spell": mark.spell,
+            }
+        )
     return {"version": 1, "marks": marks, "turns": dict(it.measures.turn)}
 
 
@@ -55,9 +62,16 @@
         if told["version"] != 1:
             raise ValueError(f"version {told['version']!r} is not known")
         turns = {str(kind): min(1.0, max(0.05, number(turn))) for kind, turn in told["turns"].items()}
-        marks = [(str(row["server"]), number(row["started"]), row["category"] and str(row["category"]),
-                  number(row["until"]), min(64.0, max(0.0, number(row["spell"]))))
-                 for row in told["marks"][:MOST]]
+        marks = [
+            (
+                str(row["server"]),
+                number(row["started"]),
+                row["category"] and str(row["category"]),
+                number(row["until"]),
+                min(64.0, max(0.0, number(row["spell"]))),
+            )
+            for row in told["marks"][:MOST]
+        ]
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a record of what was learnt: {error!r}") from None
     return turns, marks
@@ -68,7 +82,7 @@
     having taken nothing. A mark stands for its spell at the longest, however wrong a clock wrote it."""
     turns, marks = record(told)
     it.measures.turn.update(turns)
-    it.measures.heard.update(dict.fromkeys(turns, 20))   # known: the first answers do not overrule them
+    it.measures.heard.update(dict.fromkeys(turns, 20))  # known: the first answers do not overrule them
     count = 0
     for server, started, category, until, spell in marks:
         entry, what = it.servers.known.get(server), server if category is None else (server, category)
@@ -85,15 +99,20 @@
     """For a successor that starts beside it at this moment: what it has learnt, and what rules rest on."""
     servers, measures = it.servers, it.measures
     return learnt(it) | {
-        "by_hand": list(servers.by_hand), "back": dict(servers.back), "awaited": dict(servers.awaited),
+        "by_hand": list(servers.by_hand),
+        "back": dict(servers.back),
+        "awaited": dict(servers.awaited),
         "tokens": {each: servers.tokens[each] for each in servers.cold},
-        "asked": servers.asked.read(now), "worth": it.worth.sums(now),
+        "asked": servers.asked.read(now),
+        "worth": it.worth.sums(now),
         "served": [(*group, each.read(now)) for group, each in servers.served.items()],
         "done": {server: (each.read(now), since) for server, (each, since) in measures.done.items()},
         "slow": {name: each.sums(now) for name, each in measures.slow.items()},
-        "brisk": (measures.brisk.value, measures.brisk.count), "heard": dict(measures.heard),
+        "brisk": (measures.brisk.value, measures.brisk.count),
+        "heard": dict(measures.heard),
         "times": {name: [each.sums(now) for each in both] for name, both in measures.times.items()},
-        "first": {name: each.sums(now) for name, each in it.tries.first.items()}}
+        "first": {name: each.sums(now) for name, each in it.tries.first.items()},
+    }
 
 
 def restore(it: Learner, now: float, told: Any, entries: Iterable[ListedServer]) -> int:
@@ -145,8 +164,16 @@
     for server in servers.over(now - it.longest, it.out):
         servers.forget(server)
         marks.met(server, it.categories)
-        for by_id in (servers.tokens, servers.awaited, marks.of, measures.done, measures.slow,
-                      measures.passed, rotation.turns, rotation.saved):
+        for by_id in (
+            servers.tokens,
+            servers.awaited,
+            marks.of,
+            measures.done,
+            measures.slow,
+            measures.passed,
+            rotation.turns,
+            rotation.saved,
+        ):
             by_id.pop(server, None)
 
 
--- a/foxspread/change.py
+++ b/foxspread/change.py
@@ -14,9 +14,19 @@
 from foxspread.model import FEWER, Category, Effect, ListedServer
 from foxspread.rings import Alternating
 
-NARROWER = ("all", "zone", "cell")   # what else stands there counts as the narrowest
-PLAIN = ("tick", "longest_back_in", "keys_remembered", "calling_off", "sidecars", "surplus_benefit",
-         "categories", "longest", "spread", "least")
+NARROWER = ("all", "zone", "cell")  # what else stands there counts as the narrowest
+PLAIN = (
+    "tick",
+    "longest_back_in",
+    "keys_remembered",
+    "calling_off",
+    "sidecars",
+    "surplus_benefit",
+    "categories",
+    "longest",
+    "spread",
+    "least",
+)
 
 
 def change(it: Balancer, now: float, settings: dict[str, Any]) -> None:
@@ -29,15 +39,17 @@
     it.longest = max(it.longest, old_longest)
     it.gate.max_hand_offs, it.gate.copies = new.gate.max_hand_offs, new.gate.copies
     it.rotation.few, it.servers.soon = new.rotation.few, new.servers.soon
-    it.customers = {name: (entry, it.customers[name][1] if name in it.customers else sent)
-                    for name, (entry, sent) in new.customers.items()}
+    it.customers = {
+        name: (entry, it.customers[name][1] if name in it.customers else sent)
+        for name, (entry, sent) in new.customers.items()
+    }
     _lookups(it, now)
     _measures(it, new)
     _pairs(it)
     _cold(it, now, new)
     if (it.portion is None) != (new.portion is None):
         _portion(it, new)
-    it.view_until = it.next_look = now   # looks at all of it again
+    it.view_until = it.next_look = now  # looks at all of it again
 
 
 def lists(it: Balancer, now: float, taken_out: frozenset[str], only: frozenset[str] | None) -> None:
@@ -60,8 +72,9 @@
     """Guards a labelled lookup that may have run: who drops its repeats is another group from here on, so it
     is not repeated at all."""
     known = it.servers.known
-    if any((old := known.get(each.server)) and (old.zone, old.cell) != (each.zone, each.cell)
-           for each in entries):
+    if any(
+        (old := known.get(each.server)) and (old.zone, old.cell) != (each.zone, each.cell) for each in entries
+    ):
         for lookup in it.lookups.values():
             if lookup.category.effect is Effect.LABELLED and lookup.may_have_run():
                 lookup.spent = True
@@ -73,7 +86,7 @@
     nor new after that."""
 
     def __init__(self) -> None:
-        self.since: dict[str, float] | None = None   # of the last whole list: when each came into it
+        self.since: dict[str, float] | None = None  # of the last whole list: when each came into it
 
     def started(self, now: float, entries: Iterable[ListedServer], alone: bool) -> list[ListedServer]:
         entries, known = list(entries), self.since or {}
@@ -93,14 +106,18 @@
 def stricter(old: Category, new: Category) -> Category:
     """For a lookup that was taken under the old one: its times are its own, repeats are what both allow."""
     scopes = [NARROWER.index(each.scope) if each.scope in NARROWER else 2 for each in (old, new)]
-    return replace(old, effect=max(old.effect, new.effect, key=FEWER.index), scope=NARROWER[max(scopes)],
-                   repeat_window=min(old.repeat_window, new.repeat_window))
+    return replace(
+        old,
+        effect=max(old.effect, new.effect, key=FEWER.index),
+        scope=NARROWER[max(scopes)],
+        repeat_window=min(old.repeat_window, new.repeat_window),
+    )
 
 
 def _lookups(it: Balancer, now: float) -> None:
     for lookup in it.lookups.values():
         if (category := it.categories.get(lookup.category.name)) is None:
-            lookup.spent = True   # no further hand-off, none that is on its way to its first byte
+            lookup.spent = True  # no further hand-off, none that is on its way to its first byte
         elif category != lookup.category:
             lookup.category = stricter(lookup.category, category)
         if not lookup.over:
@@ -144,7 +161,7 @@
     for server in sorted(servers.ready - servers.cold.keys()):
         if servers.warmth(now, server) < 1.0:
             servers._set_cold(server, True)
-            servers.tokens[server] = (0.0, now)   # no burst
+            servers.tokens[server] = (0.0, now)  # no burst
 
 
 def _portion(it: Balancer, new: Balancer) -> None:
--- a/foxspread/config.py
+++ b/foxspread/config.py
@@ -47,7 +47,7 @@
     version: int
     whole: bool
     servers: list[NamedServer]
-    faults: list[str]              # what was left out, and why
+    faults: list[str]  # what was left out, and why
 
 
 @dataclass(frozen=True)
@@ -64,12 +64,12 @@
     discovery: Address
     limits: Limits
     known: ListPart
-    decisions: dict[str, Any]      # keyword arguments of the balancer
-    connect_time: float            # a connection that is not up by then never comes up
-    idle_time: float               # servers close what stands idle for longer
-    list_age: float                # a list that was not asked for within this counts as known all the same
-    operator: Address | None = None    # where operators call; None: there is no such door
-    passed: int | None = None      # descriptor of a listening socket that the platform holds
+    decisions: dict[str, Any]  # keyword arguments of the balancer
+    connect_time: float  # a connection that is not up by then never comes up
+    idle_time: float  # servers close what stands idle for longer
+    list_age: float  # a list that was not asked for within this counts as known all the same
+    operator: Address | None = None  # where operators call; None: there is no such door
+    passed: int | None = None  # descriptor of a listening socket that the platform holds
 
 
 class Section:
@@ -128,10 +128,17 @@
 
 def category(row: Section) -> Category:
     expected = row.seconds("expected_time", 1.0)
-    return Category(row.text("name"), expected, row.seconds("abandon_time", expected),
-                    row.number("benefit", 1.0), row.number("late_benefit", 0.0),
-                    EFFECTS.get(row.text("semantics", ""), Effect.IRREVERSIBLE),
-                    row.text("key_scope", "cell"), row.seconds("repeat_window"), row.flag("stream"))
+    return Category(
+        row.text("name"),
+        expected,
+        row.seconds("abandon_time", expected),
+        row.number("benefit", 1.0),
+        row.number("late_benefit", 0.0),
+        EFFECTS.get(row.text("semantics", ""), Effect.IRREVERSIBLE),
+        row.text("key_scope", "cell"),
+        row.seconds("repeat_window"),
+        row.flag("stream"),
+    )
 
 
 def settings(options: Section, seed: int) -> dict[str, Any]:
@@ -140,15 +147,19 @@
     siblings, streams = max(1, options.whole("siblings", 1)), limits.whole("multiplex", 1, 1)
     # Guards against two sidecars, or none, at one place of the fleet; where all use all, it is not read.
     if (position := options.whole("position", 0)) >= siblings and streams > 1:
-        raise ConfigError(f"'{options.name('position')}' must be below '{options.name('siblings')}' "
-                          f"({siblings}), not {position}")
+        raise ConfigError(
+            f"'{options.name('position')}' must be below '{options.name('siblings')}' "
+            f"({siblings}), not {position}"
+        )
     return {
         "seed": seed,
         "zone": options.text("az", ""),
         "sidecars": siblings,
         "categories": [category(row) for row in options.sections("categories")],
-        "customers": [Customer(row.text("name"), row.number("share", 0.0), row.number("quota_per_s", 0.0))
-                      for row in options.sections("tenants")],
+        "customers": [
+            Customer(row.text("name"), row.number("share", 0.0), row.number("quota_per_s", 0.0))
+            for row in options.sections("tenants")
+        ],
         "surplus_benefit": options.number("surplus_benefit", 1.0),
         "max_hand_offs": int(limits.number("max_hand_offs", 1)),
         "copies": limits.flag("parallel_tries"),
@@ -160,8 +171,11 @@
         "asks": options.text("discovery", "push") == "ask",
         "position": position,
         "streams": streams,
-        "cold": (contract.number("cold_from", 1.0), contract.seconds("cold"),
-                 contract.number("fall_multiple", 1.0)),
+        "cold": (
+            contract.number("cold_from", 1.0),
+            contract.seconds("cold"),
+            contract.number("fall_multiple", 1.0),
+        ),
     }
 
 
@@ -188,9 +202,15 @@
 
 def named_server(row: Section) -> NamedServer:
     readiness = STATES.get(row.text("state"), Readiness.DRAINING)
-    listed = ListedServer(row.text("id"), row.text("zone", ""), int(row.number("cell", 0)),
-                          row.number("weight", 1.0) or 1.0, readiness, row.number("started_ms", 0) / 1e3,
-                          row.text("kind", ""))
+    listed = ListedServer(
+        row.text("id"),
+        row.text("zone", ""),
+        int(row.number("cell", 0)),
+        row.number("weight", 1.0) or 1.0,
+        readiness,
+        row.number("started_ms", 0) / 1e3,
+        row.text("kind", ""),
+    )
     return NamedServer(listed, address(row.text("addr"), row.name("addr")))
 
 
@@ -233,12 +253,20 @@
     has_door = environ.get("EDGE_OPERATOR") or told.values.get("operator") is not None
     allowed = options.section("limits")
     return Config(
-        one("name")[0], address(*one("listen")), address(*one("discovery")),
-        Limits(limits.number("cores", 1.0), limits.number("memory_mb", 192, 1),
-               int(limits.number("sockets", 1024, 1))),
+        one("name")[0],
+        address(*one("listen")),
+        address(*one("discovery")),
+        Limits(
+            limits.number("cores", 1.0),
+            limits.number("memory_mb", 192, 1),
+            int(limits.number("sockets", 1024, 1)),
+        ),
         list_part(told.values.get("known") or {}, "known"),
         # A pushed list comes by the same watch as one that must be asked for: on sockets both are asked.
         settings(options, seed(told.values.get("seed", ""))) | {"asks": True},
-        allowed.seconds("connect_timeout", 0.25), allowed.seconds("conn_idle", 10.0),
+        allowed.seconds("connect_timeout", 0.25),
+        allowed.seconds("conn_idle", 10.0),
         options.section("contract").seconds("ask_within", 10.0),
-        address(*one("operator")) if has_door else None, passed_socket(environ.get("EDGE_PASSED_SOCKET")))
+        address(*one("operator")) if has_door else None,
+        passed_socket(environ.get("EDGE_PASSED_SOCKET")),
+    )
--- a/foxspread/facade.py
+++ b/foxspread/facade.py
@@ -35,8 +35,8 @@
     """The lookup's final answer, where no server gave one."""
 
     lookup: str
-    dismissed: bool                # else scrapped
-    back_in: float = 0.0           # 0: no advice
+    dismissed: bool  # else scrapped
+    back_in: float = 0.0  # 0: no advice
 
 
 @dataclass(slots=True)
@@ -61,8 +61,13 @@
         self.categories = frozenset(self.balancer.categories)
         self.newcomers = change.Newcomers()
 
-    def change(self, now: float, settings: dict[str, Any], taken_out: frozenset[str] = frozenset(),
-               only: frozenset[str] | None = None) -> None:
+    def change(
+        self,
+        now: float,
+        settings: dict[str, Any],
+        taken_out: frozenset[str] = frozenset(),
+        only: frozenset[str] | None = None,
+    ) -> None:
         """Other settings, for all decisions from here on (foxspread/change.py); `tick` follows."""
         change.change(self.balancer, now, settings)
         change.lists(self.balancer, now, taken_out, only)
@@ -109,8 +114,16 @@
     def can_serve(self) -> bool:
         return bool(self.balancer.servers.ready)
 
-    def pick(self, now: float, id: str, category: str, time_left: float, customer: str = "",
-             key: str = "", again: bool = False) -> list[Step]:
+    def pick(
+        self,
+        now: float,
+        id: str,
+        category: str,
+        time_left: float,
+        customer: str = "",
+        key: str = "",
+        again: bool = False,
+    ) -> list[Step]:
         """A lookup has come; `again` where it is marked as a client's further try."""
         self.balancer.lookup_taken(now, id, category, time_left, customer, key, again)
         return self.tick(now)
@@ -154,7 +167,7 @@
 
     def _step(self, decision: Decision) -> Step:
         match decision.act:
-            case Act.HAND_OFF:   # it is the lookup's last one until the next decision is pulled
+            case Act.HAND_OFF:  # it is the lookup's last one until the next decision is pulled
                 number = len(self.balancer.lookups[decision.lookup].sent) - 1
                 return Send(decision.lookup, number, decision.server, decision.time_out)
             case Act.CALL_OFF:
--- a/foxspread/lab/stand_ins/long_bodies.py
+++ b/foxspread/lab/stand_ins/long_bodies.py
@@ -45,11 +45,12 @@
 
     async def _answer(self, writer: asyncio.StreamWriter, size: int) -> None:
         framing = {"length": b"Content-Length: %d\r\n" % size, "end": b""}.get(
-            self.framing, b"Transfer-Encoding: chunked\r\n")
+            self.framing, b"Transfer-Encoding: chunked\r\n"
+        )
         writer.write(b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n" + framing + b"\r\n")
         at, rest = 0, memoryview(content(size))
         while at < size:
-            piece = rest[at:at + self.chance.choice((1, 100, 5000, 1 << 16))]
+            piece = rest[at : at + self.chance.choice((1, 100, 5000, 1 << 16))]
             writer.write(b"%x;note=1\r\n%b\r\n" % (len(piece), piece) if self.framing == "chunks" else piece)
             await writer.drain()
             at += len(piece)
@@ -68,8 +69,14 @@
 
 
 def field(head: bytes, name: bytes) -> str | None:
-    return next((line.partition(b":")[2].strip().decode() for line in head.split(b"\r\n")
-                 if line.lower().startswith(name + b":")), None)
+    return next(
+        (
+            line.partition(b":")[2].strip().decode()
+            for line in head.split(b"\r\n")
+            if line.lower().startswith(name + b":")
+        ),
+        None,
+    )
 
 
 async def pieces_of(reader: asyncio.StreamReader, head: bytes) -> AsyncIterator[bytes]:
@@ -95,8 +102,15 @@
     return await asyncio.open_connection(address.host, address.port, limit=1 << 16)
 
 
-async def exchange(address: Address, head: bytes, size: int = 0, answer: int = 2, chunked: bool = False,
-                   expect: bool = False, seed: int = 3) -> tuple[int, bytes, str]:
+async def exchange(
+    address: Address,
+    head: bytes,
+    size: int = 0,
+    answer: int = 2,
+    chunked: bool = False,
+    expect: bool = False,
+    seed: int = 3,
+) -> tuple[int, bytes, str]:
     """A client that gives and takes in its own time: a body of that size, in pieces, for an answer of that
     size. `head` ends before the framing. Returns the status, the answer's head and the sum of its body."""
     reader, writer = await connected(address)
@@ -110,7 +124,7 @@
     async def send() -> None:
         at = 0
         while at < size:
-            piece = body[at:at + chance.choice((1, 200, 7000, 1 << 16))]
+            piece = body[at : at + chance.choice((1, 200, 7000, 1 << 16))]
             writer.write(b"%X;x=y\r\n%b\r\n" % (len(piece), piece) if chunked else piece)
             await writer.drain()
             at += len(piece)
@@ -124,7 +138,7 @@
         async for part in pieces_of(reader, found.lower()):
             read.update(part)
             if chance.random() < 0.1:
-                await asyncio.sleep(0.001)   # it takes its time
+                await asyncio.sleep(0.001)  # it takes its time
     finally:
         sending.cancel()
         writer.close()
--- a/foxspread/lab/stand_ins/platform.py
+++ b/foxspread/lab/stand_ins/platform.py
@@ -41,9 +41,18 @@
             door = Address(*free.getsockname())
         self.file.write_text(json.dumps(self.config | {"listen": str(self.listen), "operator": str(door)}))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "foxspread", stderr=asyncio.subprocess.PIPE, pass_fds=(self.sock.fileno(),),
-            env=os.environ | {"EDGE_CONFIG": str(self.file), "TMPDIR": self.folder.name,
-                              "EDGE_PASSED_SOCKET": passed or str(self.sock.fileno())})
+            sys.executable,
+            "-m",
+            "foxspread",
+            stderr=asyncio.subprocess.PIPE,
+            pass_fds=(self.sock.fileno(),),
+            env=os.environ
+            | {
+                "EDGE_CONFIG": str(self.file),
+                "TMPDIR": self.folder.name,
+                "EDGE_PASSED_SOCKET": passed or str(self.sock.fileno()),
+            },
+        )
         self.processes.append(process)
         return process, door
 
--- a/foxspread/members.py
+++ b/foxspread/members.py
@@ -12,28 +12,28 @@
 from foxspread.rings import Alternating, Sizes
 from foxspread.sums import Decaying, Latest
 
-BY_HAND_MOST = 1000   # out at a time, and remembered as called back
-TAKEN_OVER = 1.25   # times what each did: so much more the rest does at once when some go
+BY_HAND_MOST = 1000  # out at a time, and remembered as called back
+TAKEN_OVER = 1.25  # times what each did: so much more the rest does at once when some go
 
 
 class Members:
     def __init__(self, cold_from: float, cold_time: float) -> None:
         self.cold_from, self.cold_time = cold_from, cold_time
         self.known: dict[str, ListedServer] = {}
-        self.zones: dict[str, list[str]] = {}              # the ready servers by zone
+        self.zones: dict[str, list[str]] = {}  # the ready servers by zone
         self.cells: dict[tuple[str, int], list[str]] = {}  # the same by cell
         self.ready: set[str] = set()
-        self.cold: dict[str, None] = {}                    # ready, and not warm when last listed
-        self.sizes = Sizes()                               # of the ready ones
+        self.cold: dict[str, None] = {}  # ready, and not warm when last listed
+        self.sizes = Sizes()  # of the ready ones
         # By zone and kind: sizes of those that are not cold, and what these have done of late.
         self.warm_sizes: dict[tuple[str, str], Sizes] = {}
         self.served: dict[tuple[str, str], Decaying] = defaultdict(lambda: Decaying(10.0))
         self.largest = 1.0
-        self.gone: dict[str, float] = {}                   # since when
-        self.by_hand: dict[str, None] = {}                 # out until called back, listed or not
-        self.back: Latest = Latest(BY_HAND_MOST)           # when they were called back
-        self.taken_out: frozenset[str] = frozenset()       # for the whole fleet, by agreed rules
-        self.only: frozenset[str] | None = None            # by these rules no others; None: all
+        self.gone: dict[str, float] = {}  # since when
+        self.by_hand: dict[str, None] = {}  # out until called back, listed or not
+        self.back: Latest = Latest(BY_HAND_MOST)  # when they were called back
+        self.taken_out: frozenset[str] = frozenset()  # for the whole fleet, by agreed rules
+        self.only: frozenset[str] | None = None  # by these rules no others; None: all
         self.orders: dict[str, Alternating] | None = None  # of the ready ones by zone, if asked for
 
     def warmth(self, now: float, server: str) -> float:
@@ -119,8 +119,11 @@
         if whole:
             entries = list(entries)
             named = {entry.server for entry in entries}
-            entries += [replace(entry, readiness=Readiness.GONE) for server, entry in self.known.items()
-                        if server not in named and entry.readiness is not Readiness.GONE]
+            entries += [
+                replace(entry, readiness=Readiness.GONE)
+                for server, entry in self.known.items()
+                if server not in named and entry.readiness is not Readiness.GONE
+            ]
         for entry in entries:
             # Restarted while it was out by hand, whenever the list tells that: cold from the call back on.
             if self.back.get(entry.server, 0.0) > entry.started:
--- a/foxspread/model.py
+++ b/foxspread/model.py
@@ -9,12 +9,12 @@
 
 
 class Effect(Enum):
-    REDOABLE = "redoable"          # may run again
-    LABELLED = "labelled"          # carries a mark by which some servers know a repeat
+    REDOABLE = "redoable"  # may run again
+    LABELLED = "labelled"  # carries a mark by which some servers know a repeat
     IRREVERSIBLE = "irreversible"  # must never run twice
 
 
-FEWER = (Effect.REDOABLE, Effect.LABELLED, Effect.IRREVERSIBLE)   # repeats, each allowing less
+FEWER = (Effect.REDOABLE, Effect.LABELLED, Effect.IRREVERSIBLE)  # repeats, each allowing less
 
 
 class Outcome(Enum):
@@ -22,14 +22,14 @@
 
     DONE = "done"
     ERROR = "error"
-    FULL = "full"                  # turned away unseen
+    FULL = "full"  # turned away unseen
     TIMED_OUT = "timed out"
     UNCONNECTED = "unconnected"
     RESET = "reset"
     CALLED_OFF = "called off"
     UNSENT = "unsent"
 
-    def __init__(self, how: str) -> None:   # worked out once: each end of a hand-off asks for all of it
+    def __init__(self, how: str) -> None:  # worked out once: each end of a hand-off asks for all of it
         self.done = how == "done"
         self.answered = how in ("done", "error")
         self.cut_off = how in ("timed out", "called off")
@@ -47,13 +47,13 @@
 @dataclass(frozen=True)
 class Category:
     name: str
-    expected_time: float           # an answer within this earns the whole benefit
+    expected_time: float  # an answer within this earns the whole benefit
     abandon_time: float
     benefit: float = 1.0
-    late_benefit: float = 0.0      # share of the benefit that a later answer earns
+    late_benefit: float = 0.0  # share of the benefit that a later answer earns
     effect: Effect = Effect.REDOABLE
-    scope: str = "all"             # labelled: the servers that drop a repeat: all, zone or cell
-    repeat_window: float = 0.0     # labelled: for how long they drop it
+    scope: str = "all"  # labelled: the servers that drop a repeat: all, zone or cell
+    repeat_window: float = 0.0  # labelled: for how long they drop it
     streamed: bool = False
 
 
@@ -62,10 +62,10 @@
     server: str
     zone: str = ""
     cell: int = 0
-    size: float = 1.0              # as registered, for comparing with others
+    size: float = 1.0  # as registered, for comparing with others
     readiness: Readiness = Readiness.READY
-    started: float = 0.0           # 0: long ago
-    kind: str = ""                 # machines of one kind are taken to be alike until they show otherwise
+    started: float = 0.0  # 0: long ago
+    kind: str = ""  # machines of one kind are taken to be alike until they show otherwise
 
     def warmth(self, now: float, cold_from: float, cold_time: float) -> float:
         """The share of its capacity that it has at least, by the time since its start (contract)."""
@@ -77,22 +77,22 @@
 @dataclass(frozen=True)
 class Customer:
     name: str
-    share: float = 0.0             # of the service
-    quota: float = 0.0             # lookups a second over all sidecars
+    share: float = 0.0  # of the service
+    quota: float = 0.0  # lookups a second over all sidecars
 
 
 @dataclass(slots=True)
 class HandOff:
     server: str
     zone: str
-    kind: str | None               # None while it is not warm
+    kind: str | None  # None while it is not warm
     sent: float
-    trial: str | tuple[str, str] | None   # of what is marked: a server, or one for a category
+    trial: str | tuple[str, str] | None  # of what is marked: a server, or one for a category
     overdue: float = math.inf
     outcome: Outcome | None = None
     called_off: bool = False
-    late: bool = False             # overdue and overtaken, or its body is still coming: it holds no room
-    judged: bool = False           # its verdict has been noted
+    late: bool = False  # overdue and overtaken, or its body is still coming: it holds no room
+    judged: bool = False  # its verdict has been noted
 
 
 @dataclass(slots=True)
@@ -101,13 +101,13 @@
     category: Category
     expected_at: float
     abandon_at: float
-    worth: float                   # benefit per usual time, within its customer's share
-    draw: float = 0.0              # by chance from 0 up to 1: who yields first among equals
-    key: str = ""                  # what it concerns, where servers remember that
+    worth: float  # benefit per usual time, within its customer's share
+    draw: float = 0.0  # by chance from 0 up to 1: who yields first among equals
+    key: str = ""  # what it concerns, where servers remember that
     sent: list[HandOff] = field(default_factory=list)
-    over: bool = False             # answered, or the client has left
-    coming: bool = False           # a body that is not kept passes through to a server: its time stands still
-    spent: bool = False            # of that, some has gone: it cannot be sent again
+    over: bool = False  # answered, or the client has left
+    coming: bool = False  # a body that is not kept passes through to a server: its time stands still
+    spent: bool = False  # of that, some has gone: it cannot be sent again
 
     @property
     def useful_until(self) -> float:
@@ -118,7 +118,7 @@
 
     def without(self, number: int) -> "Lookup":
         """As if that hand-off had not been decided."""
-        return replace(self, sent=self.sent[:number] + self.sent[number + 1:])
+        return replace(self, sent=self.sent[:number] + self.sent[number + 1 :])
 
     def may_have_run(self) -> list[HandOff]:
         return [h for h in self.sent if h.outcome is None or not h.outcome.never_ran]
@@ -133,9 +133,9 @@
     """What one server's outcomes say of it."""
 
     fails: deque[float] = field(default_factory=deque)
-    streak: int = 0                # failures in a row, however long ago
-    verdicts: Mean = field(default_factory=lambda: Mean(10.0, 0.0))   # 1 for each failure
-    until: float | None = None     # marked down; trials from then on
+    streak: int = 0  # failures in a row, however long ago
+    verdicts: Mean = field(default_factory=lambda: Mean(10.0, 0.0))  # 1 for each failure
+    until: float | None = None  # marked down; trials from then on
     spell: float = 0.0
     passes: int = 0
     trial_out: bool = False
@@ -167,6 +167,6 @@
     act: Act
     lookup: str = ""
     server: str = ""
-    time_out: float = 0.0          # of a hand-off; 0: until the client gives up
-    number: int = 0                # which hand-off to call off
-    back_in: float = 0.0           # of a dismissal: when the client may return; 0: no advice
+    time_out: float = 0.0  # of a hand-off; 0: until the client gives up
+    number: int = 0  # which hand-off to call off
+    back_in: float = 0.0  # of a dismissal: when the client may return; 0: no advice
--- a/foxspread/net/discovery.py
+++ b/foxspread/net/discovery.py
@@ -37,9 +37,16 @@
 
 
 class Discovery:
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, version: int | None,
-                 listed: Callable[[ListPart], None], failed: Callable[[], None], silence: float,
-                 connect_time: float = 1.0) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        version: int | None,
+        listed: Callable[[ListPart], None],
+        failed: Callable[[], None],
+        silence: float,
+        connect_time: float = 1.0,
+    ) -> None:
         self.loop, self.address, self.version = loop, address, version
         self.listed, self.failed = listed, failed
         self.connect_time, self.silence = connect_time, silence
@@ -73,7 +80,7 @@
             sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
             sock.setblocking(False)
             reason = await self._follow(sock)
-        except TimeoutError:   # silent links look alive for ever
+        except TimeoutError:  # silent links look alive for ever
             reason = Reason.WATCH_SILENT
         except OSError as error:
             logger.debug("discovery: {}", error)
@@ -81,7 +88,7 @@
             logger.warning("discovery: {}", error)
             refused = isinstance(error, http.BadMessage) and error.status >= 500
             reason = Reason.WATCH_REFUSED if refused else Reason.WATCH_BAD
-            self.version = self.version if refused else None   # what was missed is told whole
+            self.version = self.version if refused else None  # what was missed is told whole
         except asyncio.CancelledError:
             reason = Reason.WATCH_STOP
             raise
@@ -91,7 +98,7 @@
             if sock is not None:
                 sock.close()
             logger.info("{} discovery={}", reason.value, address)
-            if self.task is asyncio.current_task():   # not one that has taken over by a move
+            if self.task is asyncio.current_task():  # not one that has taken over by a move
                 self.task = None
         self.failed()
 
--- a/foxspread/net/hand_off.py
+++ b/foxspread/net/hand_off.py
@@ -12,21 +12,30 @@
 from foxspread.net.reasons import Reason
 
 
-REST_OF_ANSWER = 0.25   # how long a next part of an answer that has begun may take
+REST_OF_ANSWER = 0.25  # how long a next part of an answer that has begun may take
 
 
 @dataclass
 class Ending:
     outcome: Outcome
     answer: http.Message | None = None
-    passing: Passing | None = None   # of a long answer: whoever gets it closes it
+    passing: Passing | None = None  # of a long answer: whoever gets it closes it
 
 
 class HandOff:
-    def __init__(self, loop: asyncio.AbstractEventLoop, pool: Pool, clock: Callable[[], float],
-                 message: http.Message, place: Place, until: float, holds: Callable[[], bool],
-                 windows: Windows | None = None, passes: Callable[[bool], float] | None = None,
-                 gone: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        pool: Pool,
+        clock: Callable[[], float],
+        message: http.Message,
+        place: Place,
+        until: float,
+        holds: Callable[[], bool],
+        windows: Windows | None = None,
+        passes: Callable[[bool], float] | None = None,
+        gone: Callable[[], None] = lambda: None,
+    ) -> None:
         """`passes`: a body that is not kept begins to go out, or (True) has gone; returns the time left.
         `gone`: the last byte is written."""
         self.loop, self.pool, self.clock = loop, pool, clock
@@ -34,8 +43,8 @@
         self.windows, self.passes, self.gone = windows or Windows(0), passes, gone
         self.body: Body | None = message.source
         self.limit: asyncio.Timeout | None = None
-        self.begun = False   # from the first byte on it may have run, as far as one who cuts it off can tell
-        self.whole = False   # its last byte is written
+        self.begun = False  # from the first byte on it may have run, as far as one who cuts it off can tell
+        self.whole = False  # its last byte is written
 
     async def run(self) -> Ending:
         try:
@@ -51,7 +60,7 @@
     async def _run(self) -> Ending:
         try:
             connection = self.pool.reuse(self.place) or await self.pool.connect(self.place)
-        except OSError:   # refused, or (as TimeoutError) never up within the connect time
+        except OSError:  # refused, or (as TimeoutError) never up within the connect time
             return Ending(Outcome.UNCONNECTED)
         if connection is None:
             return Ending(Outcome.UNSENT)
@@ -64,12 +73,12 @@
             else:
                 reason, ending = await self._exchange(connection)
             return ending
-        except asyncio.CancelledError:   # a time-out, too, comes as one
+        except asyncio.CancelledError:  # a time-out, too, comes as one
             reason = Reason.SERVER_LATE if self.clock() >= self.until else Reason.CALLED_OFF
             raise
-        finally:   # here no loop call is pending on the socket: what was awaited has ended
+        finally:  # here no loop call is pending on the socket: what was awaited has ended
             if ending.passing is not None:
-                pass   # it owns the connection now
+                pass  # it owns the connection now
             elif reason is None:
                 self.pool.keep(connection)
             else:
@@ -86,8 +95,8 @@
                 await write(self.loop, connection.sock, parts)
                 self._whole()
             elif not await self._pass_body(connection, parts):
-                return Reason.CALLED_OFF, Ending(Outcome.UNSENT)   # its client's doing
-        except OSError:   # it broke before the last byte was written: never run
+                return Reason.CALLED_OFF, Ending(Outcome.UNSENT)  # its client's doing
+        except OSError:  # it broke before the last byte was written: never run
             return Reason.SERVER_BROKEN, Ending(Outcome.UNCONNECTED)
         try:
             await self._read(connection)
@@ -103,12 +112,13 @@
         except http.BadMessage:
             if not reader.ready:
                 return Reason.SERVER_BAD, Ending(Outcome.ERROR)
-            reader.busy = True   # a whole answer and then noise: it is good, its connection is not
+            reader.busy = True  # a whole answer and then noise: it is good, its connection is not
         answer = reader.ready.popleft()
-        early = self.body is not None and not self.whole   # the rest of the body goes nowhere
+        early = self.body is not None and not self.whole  # the rest of the body goes nowhere
         if answer.long and outcome(answer) is Outcome.DONE and not early:
-            return None, Ending(Outcome.DONE, answer,
-                                Passing(self.loop, connection, answer, self.pool, self.windows))
+            return None, Ending(
+                Outcome.DONE, answer, Passing(self.loop, connection, answer, self.pool, self.windows)
+            )
         if answer.long or early:
             return Reason.SERVER_BAD if answer.long else Reason.SERVER_LAST, Ending(outcome(answer), answer)
         if reader.ready or reader.busy:
@@ -124,7 +134,7 @@
         body, message, sock = self.body, self.message, connection.sock
         chunked = message.length is None
         await write(self.loop, sock, [*head, *http.framed(body.first, chunked)])
-        if not message.whole or message.parts:   # else all of it is kept
+        if not message.whole or message.parts:  # else all of it is kept
             self.passes(False)
             self.limit.reschedule(None)
             while True:
@@ -159,7 +169,7 @@
 def early(sock: socket.socket) -> bool:
     try:
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-    except OSError:   # nothing yet; or it broke, as the next write will find
+    except OSError:  # nothing yet; or it broke, as the next write will find
         return False
 
 
--- a/foxspread/net/handover.py
+++ b/foxspread/net/handover.py
@@ -16,10 +16,10 @@
 from foxspread.config import Address, ConfigError
 
 VERSION = 1
-LINE_MOST = 8 << 20     # bytes of one message, the record too: some 30,000 servers
-RECORD_WAIT = 1.5       # for the predecessor's record; then a fresh start
-SERVING_WAIT = 5.0      # for the successor's word, after which the predecessor goes on alone
-TELL_WAIT = 0.7         # for the other process's word on a call by hand: callers wait a second
+LINE_MOST = 8 << 20  # bytes of one message, the record too: some 30,000 servers
+RECORD_WAIT = 1.5  # for the predecessor's record; then a fresh start
+SERVING_WAIT = 5.0  # for the successor's word, after which the predecessor goes on alone
+TELL_WAIT = 0.7  # for the other process's word on a call by hand: callers wait a second
 IDS_EVERY = 0.05
 
 
@@ -34,8 +34,10 @@
         raise ConfigError(f"{name} is no open socket: {error.strerror}") from None
     if not listens or at != listen:
         sock.detach()
-        raise ConfigError(f"{name} must listen at 'listen' ({listen}), not "
-                          + (f"be at {at}" if not listens else f"at {at}"))
+        raise ConfigError(
+            f"{name} must listen at 'listen' ({listen}), not "
+            + (f"be at {at}" if not listens else f"at {at}")
+        )
     sock.setblocking(False)
     return sock
 
@@ -70,7 +72,7 @@
         self.loop, self.sock, self.lock = loop, sock, asyncio.Lock()
         self.rest, self.buffer = bytearray(), bytearray(1 << 16)
         self.asked: dict[int, asyncio.Future[bool]] = {}
-        self.count, self.serving = 0, False   # serving: the successor has said so on it
+        self.count, self.serving = 0, False  # serving: the successor has said so on it
 
     async def read(self) -> dict[str, Any] | None:
         """None at the end; ValueError on what cannot be read."""
@@ -81,7 +83,7 @@
             if size == 0:
                 return None
             self.rest += memoryview(self.buffer)[:size]
-        line, self.rest = self.rest[:at], self.rest[at + 1:]
+        line, self.rest = self.rest[:at], self.rest[at + 1 :]
         try:
             message = json.loads(line)
         except RecursionError:
@@ -120,8 +122,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, path: str, party: Party) -> None:
         self.loop, self.path, self.party = loop, path, party
         self.links: dict[Link, asyncio.Task] = {}
-        self.heir: Link | None = None      # to whom we have told our state
-        self.settled = asyncio.Event()     # it is known who owns what: we do, from then on
+        self.heir: Link | None = None  # to whom we have told our state
+        self.settled = asyncio.Event()  # it is known who owns what: we do, from then on
         self.sock: socket.socket | None = None
         self.others: set[asyncio.Task] = set()
         self.ids: list[str] = []
@@ -132,7 +134,7 @@
         if link is not None:
             try:
                 await link.write({"serving": True})
-            except OSError as error:   # killed half-way: that costs what it held
+            except OSError as error:  # killed half-way: that costs what it held
                 logger.warning("handover: the predecessor ended: {}", error)
             self._task(self._follow(link, "predecessor"), link)
         self.settled.set()
@@ -149,7 +151,7 @@
             sock.connect(self.path)
         except OSError as error:
             sock.close()
-            if not isinstance(error, FileNotFoundError):   # a stale file; refused; a path too long for it
+            if not isinstance(error, FileNotFoundError):  # a stale file; refused; a path too long for it
                 logger.warning("handover: a fresh start, nobody answers at {}: {}", self.path, error)
             return None
         link = Link(self.loop, sock)
@@ -162,7 +164,7 @@
             if told.get("version") != VERSION or "state" not in told:
                 raise ValueError(f"version {told.get('version')!r} of the record, or none, not {VERSION}")
             self.party.restore(told["state"])
-        except (OSError, ValueError) as error:   # TimeoutError is an OSError
+        except (OSError, ValueError) as error:  # TimeoutError is an OSError
             logger.warning("handover: a fresh start: {}", error or "no record in time")
             sock.close()
             return None
@@ -229,13 +231,16 @@
         try:
             async with asyncio.timeout(RECORD_WAIT):
                 hello = await link.read()
-            if hello is not None and "server" in hello:   # a call that went to a successor too early
+            if hello is not None and "server" in hello:  # a call that went to a successor too early
                 self._told(link, hello)
                 return await self._follow(link, "successor")
             if hello is None or hello.get("hello") != VERSION or self.heir is not None:
                 told = hello and hello.get("hello")
-                logger.warning("handover: no record for version {!r}{}", told,
-                               ", another successor has it" if self.heir else "")
+                logger.warning(
+                    "handover: no record for version {!r}{}",
+                    told,
+                    ", another successor has it" if self.heir else "",
+                )
                 await link.write({"version": VERSION})
                 return self._over(link)
             self.heir = link
@@ -296,7 +301,7 @@
         try:
             yes = await self.tell(server, out, link) or yes
             await link.write({"yes": yes, "number": number})
-        except OSError as error:   # whoever asked runs into its own time-out
+        except OSError as error:  # whoever asked runs into its own time-out
             logger.warning("handover: {}", error or "the other process does not answer")
 
     async def tell(self, server: str, out: bool, but: Link | None = None) -> bool:
@@ -314,14 +319,14 @@
     def _tell_ids(self) -> None:
         ids, self.ids = self.ids, []
         for link in self.links:
-            if not link.lock.locked():   # guards against growth while the other process hangs
+            if not link.lock.locked():  # guards against growth while the other process hangs
                 self._task(self._write(link, {"ids": ids}))
 
     async def _write(self, link: Link, message: dict[str, Any]) -> None:
         try:
             await link.write(message)
         except OSError:
-            pass   # its reader sees the end too
+            pass  # its reader sees the end too
 
     def _close_socket(self) -> None:
         if self.sock is not None:
@@ -330,7 +335,7 @@
             self.sock = None
 
     async def close(self) -> None:
-        self._close_socket()   # the name stays: nobody is there, or who has taken it over
+        self._close_socket()  # the name stays: nobody is there, or who has taken it over
         tasks = [*self.links.values(), *self.others]
         for task in tasks:
             task.cancel()
--- a/foxspread/net/http.py
+++ b/foxspread/net/http.py
@@ -12,15 +12,35 @@
 import httptools
 
 HEAD_MOST = 16 * 1024
-BODY_MOST = 64 * 1024   # of what is kept whole
-PASSED_MOST = 32 * 1024 * 1024   # of what passes through
-FRAMING_MOST = HEAD_MOST + 4 * BODY_MOST   # of a body in small chunks, and 16 more for each byte of it
+BODY_MOST = 64 * 1024  # of what is kept whole
+PASSED_MOST = 32 * 1024 * 1024  # of what passes through
+FRAMING_MOST = HEAD_MOST + 4 * BODY_MOST  # of a body in small chunks, and 16 more for each byte of it
 # Of one connection alone, never passed on (RFC 9110, 7.6.1); the rest we write ourselves.
-OURS = {b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
-        b"upgrade", b"host", b"content-length", b"expect", b"x-remaining"}
-PHRASES = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           408: b"Request Timeout", 413: b"Content Too Large", 431: b"Request Header Fields Too Large",
-           500: b"Internal Server Error", 502: b"Bad Gateway", 503: b"Service Unavailable"}
+OURS = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"host",
+    b"content-length",
+    b"expect",
+    b"x-remaining",
+}
+PHRASES = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
 
 CHUNKED, LAST_CHUNK = b"Transfer-Encoding: chunked\r\n", b"0\r\n\r\n"
 REMAINING = re.compile(r"([0-9]{1,12}(?:\.[0-9]*)?)([mu])")
@@ -44,16 +64,16 @@
     status: int = 0
     headers: Headers = field(default_factory=list)
     body: bytes | bytearray = b""
-    keep: bool = True              # the connection may be used again
-    began: float = 0.0             # when its first byte was read
-    ended: float = 0.0             # and its last
-    length: int | None = 0         # of the body; None: told by chunks, or by the connection's end
-    old: bool = False              # HTTP/1.0
+    keep: bool = True  # the connection may be used again
+    began: float = 0.0  # when its first byte was read
+    ended: float = 0.0  # and its last
+    length: int | None = 0  # of the body; None: told by chunks, or by the connection's end
+    old: bool = False  # HTTP/1.0
     # Where the body is too long to be kept and passes through: what has come and was not taken; its end.
     long: bool = False
     parts: list[bytes] = field(default_factory=list)
     whole: bool = False
-    source: Any = None             # what gives the rest of it
+    source: Any = None  # what gives the rest of it
 
     def header(self, name: bytes) -> bytes | None:
         for key, value in self.headers:
@@ -71,8 +91,12 @@
 
     def passed_on(self) -> list[bytes]:
         """The head's lines that the other side gets, in parts."""
-        named = {part.strip().lower() for key, value in self.headers if key.lower() == b"connection"
-                 for part in value.split(b",")}
+        named = {
+            part.strip().lower()
+            for key, value in self.headers
+            if key.lower() == b"connection"
+            for part in value.split(b",")
+        }
         parts: list[bytes] = []
         for key, value in self.headers:
             if (low := key.lower()) not in OURS and low not in named:
@@ -89,9 +113,9 @@
     def __init__(self) -> None:
         self.parser = self.new_parser()
         self.ready: deque[Message] = deque()
-        self.message, self.busy = Message(), False   # what is being read, if anything is
-        self.head, self.fed, self.now, self.in_body = 0, 0, 0.0, False   # fed: since the last whole message
-        self.size = 0   # of the body so far
+        self.message, self.busy = Message(), False  # what is being read, if anything is
+        self.head, self.fed, self.now, self.in_body = 0, 0, 0.0, False  # fed: since the last whole message
+        self.size = 0  # of the body so far
 
     def new_parser(self):
         raise NotImplementedError
@@ -124,7 +148,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.in_body:
-            return   # a trailer: not to be taken for a header
+            return  # a trailer: not to be taken for a header
         self.head += len(name) + len(value) + 4
         if self.head > self.head_most:
             self.count(0)
@@ -155,8 +179,11 @@
         """The length that the head tells, None where the body comes in chunks. Guards against a body that two
         readers would see end in two places, with another request hidden in it: two lengths, or one beside
         chunks, in any order or spelling, are refused, as is what is not plainly a length or chunked."""
-        told = [(name.lower().replace(b"_", b"-"), value.strip())
-                for name, value in self.message.headers if len(name) in (14, 17)]
+        told = [
+            (name.lower().replace(b"_", b"-"), value.strip())
+            for name, value in self.message.headers
+            if len(name) in (14, 17)
+        ]
         told = [each for each in told if each[0] in (b"content-length", b"transfer-encoding")]
         if len(told) > 1:
             raise BadMessage(400, "more than one Content-Length or Transfer-Encoding")
@@ -197,7 +224,7 @@
 
     def on_url(self, part: bytes) -> None:
         self.count(len(part))
-        self.message.target += part   # in pieces where the line was
+        self.message.target += part  # in pieces where the line was
 
     def on_headers_complete(self) -> None:
         self.message.method = self.parser.get_method()
@@ -206,8 +233,12 @@
     @property
     def wants_continue(self) -> bool:
         """True while a client waits for leave to send its body."""
-        return (self.busy and self.in_body and not self.size
-                and (self.message.header(b"expect") or b"").lower() == b"100-continue")
+        return (
+            self.busy
+            and self.in_body
+            and not self.size
+            and (self.message.header(b"expect") or b"").lower() == b"100-continue"
+        )
 
 
 class AnswerReader(Reader):
@@ -222,22 +253,24 @@
         length = super().framing()
         bare = self.message.status < 200 or self.message.status in (204, 304)
         if length == 0 and not bare and self.message.header(b"content-length") is None:
-            return None   # the end of the connection is its end
+            return None  # the end of the connection is its end
         return 0 if bare else length
 
     def end(self) -> bool:
         """The connection has ended: True if that is the end of an answer, which tells no other."""
         message = self.message
-        if not (self.busy and self.in_body and message.length is None and message.status >= 200) \
-                or self.chunked():
+        if (
+            not (self.busy and self.in_body and message.length is None and message.status >= 200)
+            or self.chunked()
+        ):
             return False
         self.on_message_complete()
         message.keep = False
         return True
 
     def on_message_complete(self) -> None:
-        if self.message.status < 200:   # 100 Continue and the like: the answer is still to come
-            self.busy = self.in_body = False   # and counts with them: they must not go on for ever
+        if self.message.status < 200:  # 100 Continue and the like: the answer is still to come
+            self.busy = self.in_body = False  # and counts with them: they must not go on for ever
         else:
             super().on_message_complete()
 
@@ -267,8 +300,16 @@
 
 def request(message: Message, host: str, time_left: float) -> list[bytes]:
     """A client's request as a server gets it, for a gathered write."""
-    head = [message.method, b" ", message.target, b" HTTP/1.1\r\nHost: ", host.encode(), b"\r\n",
-            *message.passed_on(), b"X-Remaining: %du\r\n" % max(0, int(time_left * 1e6))]
+    head = [
+        message.method,
+        b" ",
+        message.target,
+        b" HTTP/1.1\r\nHost: ",
+        host.encode(),
+        b"\r\n",
+        *message.passed_on(),
+        b"X-Remaining: %du\r\n" % max(0, int(time_left * 1e6)),
+    ]
     if message.long:
         return [*head, framed_by(message), b"\r\n"]
     if message.body or message.method not in (b"GET", b"HEAD"):
@@ -287,8 +328,14 @@
     return [b"%x\r\n" % len(piece), piece, b"\r\n"] if chunked else [piece]
 
 
-def answer(status: int, body: bytes | bytearray = b"", lines: Sequence[bytes] = (),
-           keep: bool = True, old: bool = False, framing: bytes | None = None) -> list[bytes]:
+def answer(
+    status: int,
+    body: bytes | bytearray = b"",
+    lines: Sequence[bytes] = (),
+    keep: bool = True,
+    old: bool = False,
+    framing: bytes | None = None,
+) -> list[bytes]:
     """An answer to a client, for a gathered write; `old` where it speaks HTTP/1.0, `framing` where the body
     follows."""
     last = b"Connection: close\r\n" if not keep else b"Connection: keep-alive\r\n" if old else b""
--- a/foxspread/net/listener.py
+++ b/foxspread/net/listener.py
@@ -15,7 +15,7 @@
 from foxspread.net.reasons import Reason
 
 CONTINUE = [b"HTTP/1.1 100 Continue\r\n\r\n"]
-WASTE = bytearray(256 * 1024)   # where bytes go that nobody looks at, of all connections
+WASTE = bytearray(256 * 1024)  # where bytes go that nobody looks at, of all connections
 
 
 @dataclass
@@ -23,7 +23,7 @@
     status: int
     body: bytes | bytearray = b""
     lines: list[bytes] = field(default_factory=list)
-    passing: Passing | None = None   # what follows the head, in place of a body
+    passing: Passing | None = None  # what follows the head, in place of a body
 
 
 @dataclass
@@ -32,7 +32,7 @@
 
     reply: asyncio.Future[Reply]
     id: str = ""
-    category: str = ""   # of a lookup, also of one that is answered at once
+    category: str = ""  # of a lookup, also of one that is answered at once
 
 
 class Front:
@@ -57,20 +57,27 @@
 class Client:
     """One connection of a client, and the task that serves it. Its limits are kept by `Listener.sweep`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, front: Front,
-                 patience: float, windows: Windows, stall: float = STALL) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        front: Front,
+        patience: float,
+        windows: Windows,
+        stall: float = STALL,
+    ) -> None:
         self.loop, self.sock, self.front, self.patience = loop, sock, front, patience
         self.windows, self.stall, self.body = windows, stall, None
-        self.passing = False   # its reply is being written
+        self.passing = False  # its reply is being written
         self.reader, self.buffer = http.RequestReader(), bytearray(BUFFER)
         self.ticket: Ticket | None = None
         self.retired: Reason | None = None
-        self.shut = False   # our side reads no more: the end that it then finds is not the client's
-        self.gone = False   # the client, with its lookup out
-        self.refused = False   # it has its error, and is read from only so that this is not lost
+        self.shut = False  # our side reads no more: the end that it then finds is not the client's
+        self.gone = False  # the client, with its lookup out
+        self.refused = False  # it has its error, and is read from only so that this is not lost
         # Since when it is idle, or a request is under way on it; how many it has sent, and how many lookups.
         self.since, self.answers, self.lookups, self.detail = loop.time(), 0, 0, ""
-        self.head_at = 0.0   # when the head of what is under way was whole
+        self.head_at = 0.0  # when the head of what is under way was whole
 
     @property
     def idle(self) -> bool:
@@ -90,7 +97,7 @@
             try:
                 self.sock.shutdown(socket.SHUT_RD)
             except OSError:
-                pass   # it has broken: its task sees that too
+                pass  # it has broken: its task sees that too
 
     async def run(self) -> Reason:
         try:
@@ -103,14 +110,17 @@
             reason = Reason.CLIENT_SLOW
         except OSError:
             reason = Reason.CLIENT_RESET
-        except Exception:   # must not end the process, nor go unseen
+        except Exception:  # must not end the process, nor go unseen
             logger.exception("a client's connection")
             reason = Reason.CLIENT_FAULT
-        finally:   # here no loop call is pending on the socket: what was awaited has ended
+        finally:  # here no loop call is pending on the socket: what was awaited has ended
             if self.ticket is not None:
                 self.front.left(self.ticket)
-                if self.ticket.reply.done() and not self.ticket.reply.cancelled() \
-                        and (passing := self.ticket.reply.result().passing) is not None:
+                if (
+                    self.ticket.reply.done()
+                    and not self.ticket.reply.cancelled()
+                    and (passing := self.ticket.reply.result().passing) is not None
+                ):
                     passing.close()
             if self.body is not None:
                 await self.body.abandon()
@@ -122,12 +132,13 @@
             while not self.reader.ready:
                 if not await self._receive():
                     return self.retired or Reason.CLIENT_CLOSED
-                if self.reader.wants_continue and not self.reader.ready:   # a long body is asked for later
+                if self.reader.wants_continue and not self.reader.ready:  # a long body is asked for later
                     await self._write(CONTINUE)
             message = self.reader.ready.popleft()
             if message.long:
-                self.body = message.source = Body(self.loop, self.sock, self.reader, message, self.windows,
-                                                  self.buffer, self.front.arrival)
+                self.body = message.source = Body(
+                    self.loop, self.sock, self.reader, message, self.windows, self.buffer, self.front.arrival
+                )
                 self.body.broke = self._broke
             self.ticket = self.front.taken(message)
             self.lookups += bool(self.ticket.id)
@@ -169,7 +180,7 @@
             while True:
                 try:
                     piece = await passing.next()
-                except OSError:   # TimeoutError is one
+                except OSError:  # TimeoutError is one
                     passing.close(Reason.SERVER_RESET)
                     self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     return False, 502
@@ -178,7 +189,7 @@
                 await self._write(http.framed(piece, chunked))
             if chunked:
                 await self._write([http.LAST_CHUNK])
-        except BaseException:   # the client left, or does not take it
+        except BaseException:  # the client left, or does not take it
             passing.close()
             raise
         passing.close()
@@ -268,10 +279,18 @@
     """Patience: how long a request may take to come, and an answer to be taken. A connection that has been
     idle for `idle_most` ends, one that never had a lookup after `patience`. `most` clients at once."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, front: Front,
-                 descriptors: Descriptors, patience: float = 2.4, idle_most: float = 10.0,
-                 passed: socket.socket | None = None, windows: Windows | None = None,
-                 stall: float = STALL) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        front: Front,
+        descriptors: Descriptors,
+        patience: float = 2.4,
+        idle_most: float = 10.0,
+        passed: socket.socket | None = None,
+        windows: Windows | None = None,
+        stall: float = STALL,
+    ) -> None:
         self.loop, self.front, self.descriptors, self.patience = loop, front, descriptors, patience
         self.windows, self.stall = windows or Windows(0), stall
         self.idle_most = idle_most
@@ -283,8 +302,8 @@
         descriptors.givers.insert(0, self._retire_silent)
         descriptors.givers.append(self._retire_longest_idle)
         descriptors.freed = self.resume
-        self.kept_free = descriptors.most // 4   # for servers: clients alone must not take all there are
-        self.crowd = descriptors.most // 4       # usual clients, from which on those that are idle make way
+        self.kept_free = descriptors.most // 4  # for servers: clients alone must not take all there are
+        self.crowd = descriptors.most // 4  # usual clients, from which on those that are idle make way
 
     def resume(self) -> None:
         if not self.accepting and self.sock.fileno() >= 0:
@@ -303,13 +322,13 @@
         it a lookup that counts as taken."""
         for _ in range(most):
             if not self.descriptors.take(self.kept_free):
-                return self.pause(0.05)   # or until one is freed
+                return self.pause(0.05)  # or until one is freed
             try:
                 sock, _ = self.sock.accept()
             except OSError as error:
                 self.descriptors.used -= 1
                 if not isinstance(error, (BlockingIOError, ConnectionAbortedError, InterruptedError)):
-                    logger.warning("accept: {}", error)   # out of descriptors or memory: it passes
+                    logger.warning("accept: {}", error)  # out of descriptors or memory: it passes
                     self.pause(0.05)
                 return
             sock.setblocking(False)
--- a/foxspread/net/log.py
+++ b/foxspread/net/log.py
@@ -38,8 +38,8 @@
             data = "".join([each for each in batch if each is not None] + told).encode(errors="replace")
             try:
                 while data:
-                    data = data[os.write(self.descriptor, data):]
-            except OSError:   # nobody reads it any more: the sidecar goes on without
+                    data = data[os.write(self.descriptor, data) :]
+            except OSError:  # nobody reads it any more: the sidecar goes on without
                 pass
             if batch[-1] is None:
                 return
--- a/foxspread/net/operations.py
+++ b/foxspread/net/operations.py
@@ -20,9 +20,9 @@
 from foxspread.net.pool import listening, written
 from foxspread.net.reasons import Reason
 
-CALLERS = 8   # at once; where all are there, the one that has waited longest for its own bytes makes way
-MOST = CALLERS + 2   # descriptors: theirs, the one of the door, and one that is just accepted
-PATIENCE = 3.0   # for a whole call, and for the answer to be taken
+CALLERS = 8  # at once; where all are there, the one that has waited longest for its own bytes makes way
+MOST = CALLERS + 2  # descriptors: theirs, the one of the door, and one that is just accepted
+PATIENCE = 3.0  # for a whole call, and for the answer to be taken
 PUT = re.compile(r"/servers/([^/]+)/(maint|ready)")
 
 
@@ -77,8 +77,9 @@
         yes = operated.healthy()
         return only(b"GET", message) or Verdict(200 if yes else 503, b"yes\n" if yes else b"no\n")
     if path == "/stats":
-        return only(b"GET", message) or Verdict(200, json.dumps(operated.figures()).encode() + b"\n",
-                                                (b"Content-Type: application/json\r\n",))
+        return only(b"GET", message) or Verdict(
+            200, json.dumps(operated.figures()).encode() + b"\n", (b"Content-Type: application/json\r\n",)
+        )
     if (found := PUT.fullmatch(path)) is None:
         return Verdict(404, b"no such call\n")
     if bad := only(b"PUT", message):
@@ -100,7 +101,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, operated: Operated) -> None:
         self.loop, self.sock, self.operated = loop, sock, operated
-        self.calling, self.room = False, False   # its call is being answered; it made way
+        self.calling, self.room = False, False  # its call is being answered; it made way
         self.detail = ""
 
     async def run(self) -> Reason:
@@ -125,11 +126,11 @@
             reason = Reason.CALL_ROOM if self.room else Reason.STOPPING
         except OSError:
             reason = Reason.CALL_LEFT
-        except Exception:   # must not end the process, nor go unseen
+        except Exception:  # must not end the process, nor go unseen
             logger.exception("an operator's call")
             reason = Reason.CALL_FAULT
             await self._refuse(Verdict(500, b"a fault of our own\n"))
-        finally:   # here no loop call is pending on the socket: what was awaited has ended
+        finally:  # here no loop call is pending on the socket: what was awaited has ended
             self.sock.close()
         return reason
 
@@ -154,8 +155,11 @@
     async def _answer(self, told: Verdict) -> None:
         """And reads on to the end: closing with bytes unread would reset it, and the answer could be lost."""
         self.detail += f" status={told.status}"
-        lines = told.lines if any(line.startswith(b"Content-Type") for line in told.lines) \
+        lines = (
+            told.lines
+            if any(line.startswith(b"Content-Type") for line in told.lines)
             else (*told.lines, b"Content-Type: text/plain\r\n")
+        )
         if rest := written(self.sock, http.answer(told.status, told.text, lines, keep=False)):
             await self.loop.sock_sendall(self.sock, rest)
         self.sock.shutdown(socket.SHUT_WR)
@@ -188,7 +192,7 @@
             except OSError as error:
                 if not isinstance(error, (BlockingIOError, ConnectionAbortedError, InterruptedError)):
                     logger.warning("operators' door: {}", error)
-                    self._rest(0.05)   # out of descriptors: waits, and does not spin
+                    self._rest(0.05)  # out of descriptors: waits, and does not spin
                 return
             sock.setblocking(False)
             caller = Caller(self.loop, sock, self.operated)
--- a/foxspread/net/passing.py
+++ b/foxspread/net/passing.py
@@ -11,10 +11,10 @@
 from foxspread.net.reasons import Reason
 
 WINDOW = 64 * 1024
-COPIES = 3        # of a window, while it is read, parsed and written
-SILENCE = 2.4     # how long a client may give nothing of a body
+COPIES = 3  # of a window, while it is read, parsed and written
+SILENCE = 2.4  # how long a client may give nothing of a body
 SLOWEST = 32_000  # bytes a second that it gives at the least, over all the time that was waited for it
-STALL = 10.0      # how long a peer may give or take nothing of what passes
+STALL = 10.0  # how long a peer may give or take nothing of what passes
 
 
 class Windows:
@@ -39,15 +39,23 @@
     """Of a client's request. The first piece is kept until the next one is asked for: until then the lookup
     can go to another server. One reads at a time; whoever closes the socket waits for it (`abandon`)."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, reader: RequestReader,
-                 message: Message, windows: Windows, buffer: bytearray, arrival: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        reader: RequestReader,
+        message: Message,
+        windows: Windows,
+        buffer: bytearray,
+        arrival: Callable[[], float],
+    ) -> None:
         self.loop, self.sock, self.reader, self.message = loop, sock, reader, message
         self.windows, self.buffer, self.arrival = windows, buffer, arrival
         self.first, self.spent, self.lock = message.piece(), False, asyncio.Lock()
         self.window: bytearray | None = None
         self.waited, self.got, self.over = 0.0, 0, False
         self.expects = reader.wants_continue and not self.first
-        self.error: BadMessage | None = None   # of the client; who waits for the reply is told by `broke`
+        self.error: BadMessage | None = None  # of the client; who waits for the reply is told by `broke`
         self.broke: Callable[[], None] = lambda: None
 
     async def next(self) -> bytes:
@@ -102,8 +110,14 @@
 class Passing:
     """Of a server's answer, whose head and first bytes are there. Owns the connection until `close`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, connection: Connection, message: Message, pool: Pool,
-                 windows: Windows) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        connection: Connection,
+        message: Message,
+        pool: Pool,
+        windows: Windows,
+    ) -> None:
         self.loop, self.connection, self.message, self.pool = loop, connection, message, pool
         self.windows, self.window = windows, windows.take()
 
@@ -121,7 +135,7 @@
                 elif not reader.end():
                     raise ConnectionResetError("it broke off")
             except BadMessage as error:
-                if not self.message.whole:   # else a whole answer and then noise
+                if not self.message.whole:  # else a whole answer and then noise
                     raise ConnectionError(str(error)) from None
                 reader.busy = True
         return piece
@@ -141,4 +155,3 @@
             self.pool.keep(connection)
         else:
             connection.close(reason)
-
--- a/foxspread/net/pool.py
+++ b/foxspread/net/pool.py
@@ -13,8 +13,8 @@
 from foxspread.net.http import AnswerReader
 from foxspread.net.reasons import Reason
 
-PARTS_MOST = 512   # of one gathered write; the system takes 1,024
-BUFFER = 4 * 1024   # of each connection, as long as it lasts: most messages fit, others take more reads
+PARTS_MOST = 512  # of one gathered write; the system takes 1,024
+BUFFER = 4 * 1024  # of each connection, as long as it lasts: most messages fit, others take more reads
 
 
 class Descriptors:
@@ -31,7 +31,7 @@
         if self.used >= self.most - left and not any(give() for give in self.givers):
             return False
         if self.used >= self.most - left:
-            return False   # one is closing, but only its own task may end it: the next call finds it free
+            return False  # one is closing, but only its own task may end it: the next call finds it free
         self.used += 1
         return True
 
@@ -129,18 +129,19 @@
             return True
         except OSError:
             pass
-        return False   # its end, or bytes that nobody asked for
+        return False  # its end, or bytes that nobody asked for
 
 
 class Pool:
-    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors, connect_time: float,
-                 idle_time: float) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, descriptors: Descriptors, connect_time: float, idle_time: float
+    ) -> None:
         self.loop, self.descriptors, self.connect_time = loop, descriptors, connect_time
         # Well before the server may close it: its close and our request would cross.
         self.idle_most = 0.7 * idle_time
-        self.idle: dict[Place, list[Connection]] = {}   # the newest last
-        self.left: dict[Place, float] = {}   # of what is gone, since when: what is out there must not be kept
-        self.closing = False   # what is idle is needed by another process under the same limits
+        self.idle: dict[Place, list[Connection]] = {}  # the newest last
+        self.left: dict[Place, float] = {}  # of what is gone, since when: what is out there must not be kept
+        self.closing = False  # what is idle is needed by another process under the same limits
         descriptors.givers.append(self.close_oldest)
 
     def reuse(self, place: Place) -> Connection | None:
@@ -164,7 +165,7 @@
             return None
         try:
             sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
-        except OSError as error:   # out of descriptors: our own fault, which must not mark the server
+        except OSError as error:  # out of descriptors: our own fault, which must not mark the server
             logger.warning("no socket: {}", error)
             self.descriptors.give_back()
             return None
@@ -174,17 +175,17 @@
             try:
                 async with asyncio.timeout(self.connect_time):
                     await connect(self.loop, sock, address)
-            except TimeoutError:   # after a pause of this process it may have come up in time, unseen
+            except TimeoutError:  # after a pause of this process it may have come up in time, unseen
                 if not connected(sock):
                     raise
-        except BaseException as error:   # also when called off
+        except BaseException as error:  # also when called off
             sock.close()
             self.descriptors.give_back()
             reasons = {TimeoutError: Reason.SERVER_SILENT, asyncio.CancelledError: Reason.CALLED_OFF}
             reason = reasons.get(type(error), Reason.SERVER_REFUSED)
             logger.info("{} server={} lookups=0", reason.value, address)
             if isinstance(error, OSError) and error.errno == errno.EADDRNOTAVAIL:
-                return None   # no port left here
+                return None  # no port left here
             raise
         return Connection(sock, place, self.descriptors)
 
@@ -219,7 +220,7 @@
         """Closes what has been idle for too long or was closed by its server."""
         limit = self.loop.time() - self.idle_most
         for place in [each for each, since in self.left.items() if since < limit - 60]:
-            del self.left[place]   # whatever was out there has ended long ago
+            del self.left[place]  # whatever was out there has ended long ago
         for place, kept in list(self.idle.items()):
             for connection in list(kept):
                 if connection.idle_since < limit or not connection.sound():
@@ -230,7 +231,7 @@
                 del self.idle[place]
 
     def close_oldest(self) -> bool:
-        groups = [kept for kept in self.idle.values() if kept]   # looked at before: closing empties the last
+        groups = [kept for kept in self.idle.values() if kept]  # looked at before: closing empties the last
         if groups:
             min(groups, key=lambda kept: kept[0].idle_since).pop(0).close(Reason.SERVER_ROOM)
         return bool(groups)
--- a/foxspread/net/sidecar.py
+++ b/foxspread/net/sidecar.py
@@ -30,11 +30,11 @@
 # While nothing changes, discovery writes an empty line every 2 s. What it has to tell counts as told after
 # 6 s, come or not, so a watch that is silent for longer than two such lines is given up before.
 SILENCE = 4.5
-BASE_MB = 32   # what the process takes with no connection, and something to spare
-ID_SPELL = 16   # sweeps, of a quarter of a second: an id is known for one to two spells
-LEARNT_MOST = 1 << 20   # characters of the file of what was learnt: it is read before anything is served
-START_MOST = 3.0   # a successor has 6 s in all to say yes
-SPARE = 0.004   # the last moment for an answer, before its client gives up
+BASE_MB = 32  # what the process takes with no connection, and something to spare
+ID_SPELL = 16  # sweeps, of a quarter of a second: an id is known for one to two spells
+LEARNT_MOST = 1 << 20  # characters of the file of what was learnt: it is read before anything is served
+START_MOST = 3.0  # a successor has 6 s in all to say yes
+SPARE = 0.004  # the last moment for an answer, before its client gives up
 
 
 def handover_path(name: str) -> str:
@@ -49,8 +49,9 @@
     for as long as it took. A lookup then has less time left than it says, and an answer that has come must be
     taken before its lookup is given up as overdue, or its server marked."""
 
-    def __init__(self, every: float = 0.02, catch_up: float = 0.01,
-                 monotonic: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, every: float = 0.02, catch_up: float = 0.01, monotonic: Callable[[], float] = time.monotonic
+    ) -> None:
         self.every, self.catch_up, self.monotonic = every, catch_up, monotonic
         self.offset = time.time() - monotonic()
         self.last = self.behind_from = self.behind_until = self()
@@ -117,7 +118,7 @@
     servers: list[NamedServer] | None
     taken_out: frozenset[str]
     only: frozenset[str] | None
-    alone: bool   # a part of the rules, until it hears of the whole again
+    alone: bool  # a part of the rules, until it hears of the whole again
 
 
 class Rules(Protocol):
@@ -136,23 +137,29 @@
     async def close(self) -> None: ...
 
 
-RULES_SOCKETS = 4   # for an ask, a watch and a version that is fetched, and one that is being closed
+RULES_SOCKETS = 4  # for an ask, a watch and a version that is fetched, and one that is being closed
 
 
 class Sidecar(Front):
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, clock: Clock | None = None,
-                 learnt: str = "", rules: Rules | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        clock: Clock | None = None,
+        learnt: str = "",
+        rules: Rules | None = None,
+    ) -> None:
         self.loop, self.config, self.clock, self.learnt = loop, config, clock or Clock(), learnt
-        self.now = self.clock()   # of the latest decision
-        self.born = self.now - time.process_time()   # at the latest
-        self.rules = rules   # the file's categories are no rules then: it starts with none
+        self.now = self.clock()  # of the latest decision
+        self.born = self.now - time.process_time()  # at the latest
+        self.rules = rules  # the file's categories are no rules then: it starts with none
         self.facade = Facade(self.now, config.decisions | ({"categories": []} if rules else {}))
         self.held: dict[str, Held] = {}
-        self.taken_lately: tuple[set[str], set[str]] = set(), set()   # ids: now, and in the spell before
+        self.taken_lately: tuple[set[str], set[str]] = set(), set()  # ids: now, and in the spell before
         self.out: dict[tuple[str, int], asyncio.Task] = {}
-        self.ruled: Ruled | None = None   # what it is on, where rules come from elsewhere
-        self.list_ruled = False   # agreed rules hold the list of servers, and discovery isn't asked
-        self.places: dict[str, Place] = {}   # of the servers that are listed and not gone
+        self.ruled: Ruled | None = None  # what it is on, where rules come from elsewhere
+        self.list_ruled = False  # agreed rules hold the list of servers, and discovery isn't asked
+        self.places: dict[str, Place] = {}  # of the servers that are listed and not gone
         self.alarm: asyncio.TimerHandle | None = None
         self.alarm_at = 0.0
         self.shed = Shed(self.clock.every)
@@ -160,21 +167,26 @@
         # Guards the memory limit: with the largest bodies a connection takes 156 KiB, as measured, but only
         # a part of all hold one; the others take under 30.
         most = min(config.limits.sockets, max(64, int(config.limits.memory_mb - BASE_MB) * 10))
-        door = operations.MOST if config.operator else 0   # its descriptors are nobody else's
+        door = operations.MOST if config.operator else 0  # its descriptors are nobody else's
         more = door + (RULES_SOCKETS if rules else 0)
         descriptors = Descriptors(most, reserve=min(32, config.limits.sockets // 3) + more)
         # A quarter of what memory is left, for all that passes through.
         self.windows = Windows(max(1, int(config.limits.memory_mb - BASE_MB)) * (1 << 20) // 4)
-        self.coming: set[str] = set()   # whose long body is still coming: not taken yet, as peers see it
-        self.passing: dict[str, Ticket] = {}   # whose long answer is being passed on
+        self.coming: set[str] = set()  # whose long body is still coming: not taken yet, as peers see it
+        self.passing: dict[str, Ticket] = {}  # whose long answer is being passed on
         self.pool = Pool(loop, descriptors, config.connect_time, config.idle_time)
-        self.discovery = Discovery(loop, config.discovery, config.known.version, self._listed,
-                                   self._list_failed, silence=min(SILENCE, config.list_age / 2))
+        self.discovery = Discovery(
+            loop,
+            config.discovery,
+            config.known.version,
+            self._listed,
+            self._list_failed,
+            silence=min(SILENCE, config.list_age / 2),
+        )
         passed = None if config.passed is None else inherited(config.passed, config.listen)
-        self.listener = Listener(loop, config.listen, self, descriptors, passed=passed,
-                                 windows=self.windows)
+        self.listener = Listener(loop, config.listen, self, descriptors, passed=passed, windows=self.windows)
         self.handover = passed and Handover(loop, handover_path(config.name), self)
-        self.lent, self.took_over = 0, False   # descriptors that a predecessor holds; its state is here
+        self.lent, self.took_over = 0, False  # descriptors that a predecessor holds; its state is here
         self.left_to_successor, self.stop = False, asyncio.Event()
         self.counts = operations.Counts(self.facade.categories)
         self.door = operations.Door(loop, config.operator, self) if config.operator else None
@@ -183,7 +195,7 @@
 
     async def run(self, stop: asyncio.Event) -> None:
         self.stop = stop
-        self.clock.last = self.clock()   # however long the start took, it was no pause
+        self.clock.last = self.clock()  # however long the start took, it was no pause
         self._listed(replace(self.config.known, whole=True))
         if self.learnt:
             self._take_over(self.learnt)
@@ -195,11 +207,12 @@
             self.listener.resume()
         works = ([self._succeed()] if self.handover else []) + [self._sweep(), self._beat()]
         tasks = [self.loop.create_task(each) for each in works]
-        logger.info("start name={} listen={} servers={}", self.config.name, self.listener.address,
-                    len(self.places))
+        logger.info(
+            "start name={} listen={} servers={}", self.config.name, self.listener.address, len(self.places)
+        )
         await stop.wait()
         if self.handover:
-            tasks[0].cancel()   # who stops takes nothing over
+            tasks[0].cancel()  # who stops takes nothing over
         await self._finish()
         for task in tasks:
             task.cancel()
@@ -208,11 +221,14 @@
     def reloaded(self, config: Config) -> None:
         """The file has been read again: of what has changed only `discovery` can be taken over by a process
         that runs; the rest is told to be left for its next start."""
-        left = [key for key in ("name", "listen", "operator", "limits", "decisions", "connect_time",
-                                    "idle_time")
-                if getattr(config, key) != getattr(self.config, key)]
-        logger.info("reloaded discovery={} for the next start: {}", config.discovery,
-                    ", ".join(left) or "nothing")
+        left = [
+            key
+            for key in ("name", "listen", "operator", "limits", "decisions", "connect_time", "idle_time")
+            if getattr(config, key) != getattr(self.config, key)
+        ]
+        logger.info(
+            "reloaded discovery={} for the next start: {}", config.discovery, ", ".join(left) or "nothing"
+        )
         if not self.stopping and not self.list_ruled:
             self.discovery.move(config.discovery)
 
@@ -220,7 +236,7 @@
         self.stopping = True
         logger.info("stopping lookups={}", len(self.held))
         await asyncio.sleep(STAY)
-        self.listener.retire_all()   # a request that crosses this comes again on a new connection
+        self.listener.retire_all()  # a request that crosses this comes again on a new connection
         await asyncio.sleep(LAST_CALL - STAY)
         self.listener.close()
         self.listener.retire_all()
@@ -275,7 +291,7 @@
             if turns % 4 == 0:
                 self.pool.sweep()
             if self.left_to_successor and not self.listener.clients and not self.held:
-                self.stop.set()   # nobody is left: the old process may leave early
+                self.stop.set()  # nobody is left: the old process may leave early
             if turns % ID_SPELL == 0:
                 self.taken_lately = set(), self.taken_lately[0]
 
@@ -296,8 +312,11 @@
         category = message.text(b"x-lane") or http.first_part(message.target)
         if path == b"/-/ready":
             return self._at_once(Reply(200 if self.healthy() else 503))
-        if self.rules and not path.startswith(b"/-/") and (
-                not self.rules.present() or category not in self.facade.categories and self.rules.between()):
+        if (
+            self.rules
+            and not path.startswith(b"/-/")
+            and (not self.rules.present() or category not in self.facade.categories and self.rules.between())
+        ):
             return self._at_once(self._come_again(), category if category in self.counts.results else "")
         if category not in self.facade.categories or path.startswith(b"/-/"):
             return self._at_once(Reply(404, b"no such category of lookups\n"))
@@ -314,7 +333,7 @@
         abandon = self.facade.abandon_time(category)
         time_left = abandon if told is None else http.remaining(told.decode("latin-1"))
         now = self.clock()
-        time_left -= now - (message.ended or now)   # it runs from the last byte
+        time_left -= now - (message.ended or now)  # it runs from the last byte
         self.taken_lately[0].add(id)
         if self.handover:
             self.handover.taken(id)
@@ -322,8 +341,15 @@
         held.guard = self.loop.call_later(max(0.0, time_left - SPARE), self._overdue, id)
         if message.long and not message.whole:
             self.coming.add(id)
-        if not self._decide(self._pick, id, category, max(0.0, time_left), message.text(b"x-org"),
-                            http.parameter(message.target, "user"), message.text(b"x-resent") == "1"):
+        if not self._decide(
+            self._pick,
+            id,
+            category,
+            max(0.0, time_left),
+            message.text(b"x-org"),
+            http.parameter(message.target, "user"),
+            message.text(b"x-resent") == "1",
+        ):
             self._answer(id, Reply(500))
             self._decide(self.facade.left, id)
         return held
@@ -338,7 +364,7 @@
         return time.process_time() <= self.config.limits.cores * (self.clock() - self.born) + 0.02
 
     def _pick(self, now: float, id: str, *args) -> list[Step]:
-        return self.facade.pick(now, id, *args) if id in self.held else []   # left while it was put off
+        return self.facade.pick(now, id, *args) if id in self.held else []  # left while it was put off
 
     def _at_once(self, reply: Reply, category: str = "") -> Ticket:
         ticket = Ticket(self.loop.create_future(), category=category)
@@ -380,23 +406,32 @@
     # Operators.
 
     def healthy(self) -> bool:
-        settled = self.handover is None or self.handover.settled.is_set()   # paid for by then
-        self.served = self.served or self.facade.can_serve() and settled and (
-            self.took_over or self._start_paid_for())
-        return self.served and not self.stopping and not self.left_to_successor and (
-            self.rules is None or self.rules.present())
+        settled = self.handover is None or self.handover.settled.is_set()  # paid for by then
+        self.served = (
+            self.served or self.facade.can_serve() and settled and (self.took_over or self._start_paid_for())
+        )
+        return (
+            self.served
+            and not self.stopping
+            and not self.left_to_successor
+            and (self.rules is None or self.rules.present())
+        )
 
     def figures(self) -> dict[str, Any]:
         rules = {"rules": self.rules.figures()} if self.rules else {}
-        return rules | {"results": self.counts.results, "forwards": self.counts.forwards,
-                "outstanding": len(self.held) - len(self.coming) + len(self.passing),
-                "discovered": len(self.places), "ejected": self.facade.avoided()}
+        return rules | {
+            "results": self.counts.results,
+            "forwards": self.counts.forwards,
+            "outstanding": len(self.held) - len(self.coming) + len(self.passing),
+            "discovered": len(self.places),
+            "ejected": self.facade.avoided(),
+        }
 
     async def by_hand(self, server: str, out: bool) -> bool:
         """Out or back; in force when this returns. False: nobody has that id, or too many are out."""
         if self.handover is None:
             return self.turned(server, out)
-        if not self.handover.settled.is_set():   # who decides is asked: its record will hold it
+        if not self.handover.settled.is_set():  # who decides is asked: its record will hold it
             return await self.handover.forward(server, out)
         yes = self.turned(server, out)
         return await self.handover.tell(server, out) or yes
@@ -406,7 +441,7 @@
         if not call(self.clock(), server):
             return False
         logger.info("{} by hand server={}", "out" if out else "back", server)
-        if (place := self.places.get(server)) is not None:   # it is restarted meanwhile
+        if (place := self.places.get(server)) is not None:  # it is restarted meanwhile
             self.pool.drop(place, Reason.SERVER_HAND)
         self._decide(self.facade.tick)
         return True
@@ -414,9 +449,12 @@
     # A new version under load.
 
     async def _succeed(self) -> None:
-        while self.handover.predecessor_there() and not self._start_paid_for() \
-                and self.clock() - self.born < START_MOST:
-            await asyncio.sleep(0.02)   # what is taken while the start is held up for would be lost
+        while (
+            self.handover.predecessor_there()
+            and not self._start_paid_for()
+            and self.clock() - self.born < START_MOST
+        ):
+            await asyncio.sleep(0.02)  # what is taken while the start is held up for would be lost
         try:
             await self.handover.start()
         except Exception:
@@ -425,13 +463,26 @@
             self.handover.settled.set()
 
     def state(self) -> dict[str, Any]:
-        rows = [{"id": each.server, "addr": str(self.places[each.server].address), "zone": each.zone,
-                 "cell": each.cell, "state": each.readiness.value, "weight": each.size,
-                 "started_ms": each.started * 1e3, "kind": each.kind}
-                for each in self.facade.entries(self.places)]
-        return {"list": {"version": self.discovery.version or 0, "full": True, "servers": rows},
-                "counts_from": self.discovery.version, "taken": list(set().union(*self.taken_lately)),
-                "descriptors": self.pool.descriptors.used, "decisions": self.facade.state(self.clock())}
+        rows = [
+            {
+                "id": each.server,
+                "addr": str(self.places[each.server].address),
+                "zone": each.zone,
+                "cell": each.cell,
+                "state": each.readiness.value,
+                "weight": each.size,
+                "started_ms": each.started * 1e3,
+                "kind": each.kind,
+            }
+            for each in self.facade.entries(self.places)
+        ]
+        return {
+            "list": {"version": self.discovery.version or 0, "full": True, "servers": rows},
+            "counts_from": self.discovery.version,
+            "taken": list(set().union(*self.taken_lately)),
+            "descriptors": self.pool.descriptors.used,
+            "decisions": self.facade.state(self.clock()),
+        }
 
     def restore(self, state: Any) -> None:
         try:
@@ -445,7 +496,7 @@
         self.took_over = True
         self.discovery.version = version if isinstance(version, int) else None
         self.taken_elsewhere(ids)
-        if self.ruled is not None:   # what a predecessor was on may be older than what holds here
+        if self.ruled is not None:  # what a predecessor was on may be older than what holds here
             self._ruled(self.ruled)
         self.lent = min(max(0, lent), self.pool.descriptors.most - 8)
         self.pool.descriptors.lend(self.lent)
@@ -475,7 +526,7 @@
 
     def _decide(self, call: Callable[..., list[Step]], *args) -> bool:
         """Calls the facade and carries out what it returns."""
-        if self.clock.behind():   # reports first: they may be in time; what follows from all is decided then
+        if self.clock.behind():  # reports first: they may be in time; what follows from all is decided then
             if call == self.facade.report:
                 self._decide_now(self.facade.note, *args)
                 call, args = self.facade.tick, ()
@@ -493,7 +544,7 @@
             self.counts.know(self.facade.categories)
             self._ruled_list(ruled)
         logger.info("rules taken up ms={:.2f}", 1e3 * (time.perf_counter() - begun))
-        self.loop.call_soon(self._decide, self.facade.tick)   # not at once: a hand-off may be asking
+        self.loop.call_soon(self._decide, self.facade.tick)  # not at once: a hand-off may be asking
 
     def _ruled_list(self, ruled: Ruled) -> None:
         if ruled.servers is not None:
@@ -501,7 +552,7 @@
             self.discovery.halt()
             self._placed(ListPart(ruled.phase, True, ruled.servers, []))
             self.facade.agreed_list(self.clock(), [each.listed for each in ruled.servers], ruled.alone)
-        elif self.list_ruled:   # it is discovery's again: what is there stays until the whole list comes
+        elif self.list_ruled:  # it is discovery's again: what is there stays until the whole list comes
             self.list_ruled = False
             self.discovery.move(self.discovery.address)
 
@@ -525,10 +576,11 @@
                 self._carry_out(step)
             except Exception:
                 logger.exception("{}", step)
-                if isinstance(step, Send):   # each gets its report, or it would count as out for ever
-                    self.loop.call_soon(self._decide, self.facade.report, step.lookup, step.number,
-                                        Outcome.UNSENT)
-        self._set_alarm(0.001 if fine else 0.05)   # a fault that stays must not spin
+                if isinstance(step, Send):  # each gets its report, or it would count as out for ever
+                    self.loop.call_soon(
+                        self._decide, self.facade.report, step.lookup, step.number, Outcome.UNSENT
+                    )
+        self._set_alarm(0.001 if fine else 0.05)  # a fault that stays must not spin
         return fine
 
     def _set_alarm(self, least: float) -> None:
@@ -536,7 +588,7 @@
             return
         if self.alarm is not None:
             if self.alarm_at <= wake:
-                return   # it rings first, and then sets the next
+                return  # it rings first, and then sets the next
             self.alarm.cancel()
         now = self.clock()
         self.alarm_at = max(now + least, wake)
@@ -562,12 +614,21 @@
 
     def _send(self, step: Send) -> None:
         held, key = self.held.get(step.lookup), (step.lookup, step.number)
-        if held is None or step.server not in self.places:   # it left, or that went, while a pause put it off
+        if held is None or step.server not in self.places:  # it left, or that went, while a pause put it off
             self.loop.call_soon(self._decide, self.facade.report, *key, Outcome.UNSENT)
             return
-        hand_off = HandOff(self.loop, self.pool, self.clock, held.message, self.places[step.server],
-                           self.clock() + step.time_out, lambda: self._holds(*key),
-                           self.windows, lambda gone: self._passes(*key, gone), self.counts.forwarded)
+        hand_off = HandOff(
+            self.loop,
+            self.pool,
+            self.clock,
+            held.message,
+            self.places[step.server],
+            self.clock() + step.time_out,
+            lambda: self._holds(*key),
+            self.windows,
+            lambda gone: self._passes(*key, gone),
+            self.counts.forwarded,
+        )
         self.out[key] = task = self.loop.create_task(hand_off.run())
         # Not in the task itself: one that is cancelled before it has run would report nothing.
         task.add_done_callback(lambda task: self._ended(step, hand_off, task))
@@ -608,8 +669,11 @@
         for fault in part.faults:
             logger.warning("left out of the list: {}", fault)
         # Guards against growth, and against mixing up two servers, one after the other at the same address.
-        found = {each.listed.server: Place(each.listed.server, each.address, each.listed.started)
-                 for each in part.servers if not each.gone}
+        found = {
+            each.listed.server: Place(each.listed.server, each.address, each.listed.started)
+            for each in part.servers
+            if not each.gone
+        }
         over = set(self.places) if part.whole else {each.listed.server for each in part.servers}
         for id in over:
             old, new = self.places.pop(id, None), found.get(id)
--- a/foxspread/rings.py
+++ b/foxspread/rings.py
@@ -23,7 +23,7 @@
     def __init__(self, names: list[str] | tuple[str, ...] = ()) -> None:
         self.names = sorted(names)
         self.open = (1 << len(self.names)) - 1
-        self.near: Nearest | None = None   # from the first key on
+        self.near: Nearest | None = None  # from the first key on
 
     def __len__(self) -> int:
         return len(self.names)
@@ -99,7 +99,7 @@
         self.codes: dict[int, list[tuple[int, str]]] = {}
 
     def add(self, name: str) -> None:
-        data = f"{name}".encode()   # a name may be anything that sorts
+        data = f"{name}".encode()  # a name may be anything that sorts
         code = self.code[name] = zlib.crc32(data) ^ zlib.crc32(bytes(len(data)))
         insort(self.codes.setdefault(len(data), []), (code, name))
 
@@ -114,8 +114,10 @@
     def nearest(self, key: str) -> Iterator[str]:
         """All names, the nearest to the key first."""
         begun = zlib.crc32(f"{key}:".encode())
-        several = [_near(codes, zlib.crc32(bytes(size), begun), 0, len(codes), 31)
-                   for size, codes in self.codes.items()]
+        several = [
+            _near(codes, zlib.crc32(bytes(size), begun), 0, len(codes), 31)
+            for size, codes in self.codes.items()
+        ]
         return (name for _, name in heapq.merge(*several))
 
 
@@ -163,27 +165,27 @@
     that a choice works out none of it. Bookkeeping of the decisions without a decision in it."""
 
     def __init__(self) -> None:
-        self.sound: dict[str, Ring] = {}        # those that count as sound, by zone
-        self.ring_of: dict[str, str] = {}       # in which of these each is
-        self.held: dict[str, int] = {}          # in flight by server, where not given up
-        self.held_in: dict[str, int] = {}       # by ring
-        self.flying = self.hushed_hold = 0      # over all, and at the silent ones
+        self.sound: dict[str, Ring] = {}  # those that count as sound, by zone
+        self.ring_of: dict[str, str] = {}  # in which of these each is
+        self.held: dict[str, int] = {}  # in flight by server, where not given up
+        self.held_in: dict[str, int] = {}  # by ring
+        self.flying = self.hushed_hold = 0  # over all, and at the silent ones
         self.hushed: set[str] = set()
-        self.full_for: dict[str, float] = {}    # parts of the room that found none, by zone
-        self.touched: set[str] = set()          # whose ring may be another by now
-        self.out: dict[str, dict[tuple[str, int], HandOff]] = {}   # by server with any, the oldest first
-        self.open_at = -math.inf                # from when on the parked ones are opened
-        self.large: set[str] = set()            # the zones whose rings are; small ones are walked each time
-        self.due: dict[str, list[str]] = {}     # the marked ones by zone, for trials
+        self.full_for: dict[str, float] = {}  # parts of the room that found none, by zone
+        self.touched: set[str] = set()  # whose ring may be another by now
+        self.out: dict[str, dict[tuple[str, int], HandOff]] = {}  # by server with any, the oldest first
+        self.open_at = -math.inf  # from when on the parked ones are opened
+        self.large: set[str] = set()  # the zones whose rings are; small ones are walked each time
+        self.due: dict[str, list[str]] = {}  # the marked ones by zone, for trials
         self.next_trial: dict[str, float] = {}  # by zone: from when on the first of these may get one
         self.lookups: dict[str, Lookup] = {}
-        self.waiting: dict[str, Lookup] = {}    # to be looked at
-        self.queue: dict[str, Lookup] = {}      # without room so far
-        self.alarms: list[tuple[float, str]] = []   # when to look at which; a heap
+        self.waiting: dict[str, Lookup] = {}  # to be looked at
+        self.queue: dict[str, Lookup] = {}  # without room so far
+        self.alarms: list[tuple[float, str]] = []  # when to look at which; a heap
 
     def client_left(self, now: float, id: str) -> None:
         if (lookup := self.lookups.get(id)) is not None:
-            lookup.over, self.waiting[id] = True, lookup   # to call off what is still out
+            lookup.over, self.waiting[id] = True, lookup  # to call off what is still out
 
     def _settle(self, lookup: Lookup) -> None:
         """Of one that is over, with nothing out, nothing stays."""
@@ -213,7 +215,7 @@
                 yield lookup
 
     def _next_alarm(self) -> float:
-        while self.alarms and self.alarms[0][1] not in self.lookups:   # what is over need not wake anybody
+        while self.alarms and self.alarms[0][1] not in self.lookups:  # what is over need not wake anybody
             heapq.heappop(self.alarms)
         return self.alarms[0][0] if self.alarms else math.inf
 
@@ -275,7 +277,6 @@
                 self.sound.setdefault(zone, Ring()).add(server)
                 self.held_in[zone] = self.held_in.get(zone, 0) + self._held(server)
 
-
     def _all_touched(self) -> list[str]:
         touched, self.touched = sorted(self.touched), set()
         return touched
@@ -341,6 +342,7 @@
 
     def walk(self, start: float) -> Iterator[str]:
         """Once round, from that part of the order on."""
+
         def of(kind: str) -> Iterator[tuple[float, str, str]]:
             alike = self.kinds[kind]
             first = math.ceil(start * len(alike) - 0.5)
--- a/foxspread/simhost/codec.py
+++ b/foxspread/simhost/codec.py
@@ -8,8 +8,13 @@
 from foxspread.model import Act, Decision, ListedServer, Outcome, Readiness
 
 OUTCOMES = {
-    "done": Outcome.DONE, "err": Outcome.ERROR, "busy": Outcome.FULL, "etimedout": Outcome.TIMED_OUT,
-    "econnrefused": Outcome.UNCONNECTED, "econnreset": Outcome.RESET, "ecanceled": Outcome.CALLED_OFF,
+    "done": Outcome.DONE,
+    "err": Outcome.ERROR,
+    "busy": Outcome.FULL,
+    "etimedout": Outcome.TIMED_OUT,
+    "econnrefused": Outcome.UNCONNECTED,
+    "econnreset": Outcome.RESET,
+    "ecanceled": Outcome.CALLED_OFF,
     "skipped": Outcome.UNSENT,
 }
 READINESS = {0: Readiness.GONE, 1: Readiness.READY, 2: Readiness.DRAINING}
@@ -49,10 +54,15 @@
     if not isinstance(record, dict):
         raise Malformed("an entry of a list must be an object")
     state = need(record, "readiness", int)
-    return ListedServer(need(record, "server", str), record.get("area") or "", record.get("block") or 0,
-                        float(record.get("power_hint") or 1.0), READINESS.get(state, Readiness.DRAINING),
-                        (record.get("born_us") or 0) / 1e6,
-                        record.get("class_of_host") or "")
+    return ListedServer(
+        need(record, "server", str),
+        record.get("area") or "",
+        record.get("block") or 0,
+        float(record.get("power_hint") or 1.0),
+        READINESS.get(state, Readiness.DRAINING),
+        (record.get("born_us") or 0) / 1e6,
+        record.get("class_of_host") or "",
+    )
 
 
 def micros(value: float) -> int:
@@ -62,13 +72,20 @@
 def action(decision: Decision) -> dict:
     match decision.act:
         case Act.HAND_OFF:
-            return {"event_type": "TRY", "op_id": decision.lookup, "server": decision.server,
-                    "max_wait_us": micros(decision.time_out) if decision.time_out else 0}
+            return {
+                "event_type": "TRY",
+                "op_id": decision.lookup,
+                "server": decision.server,
+                "max_wait_us": micros(decision.time_out) if decision.time_out else 0,
+            }
         case Act.CALL_OFF:
             return {"event_type": "RECALL", "op_id": decision.lookup, "shot": decision.number}
         case Act.DISMISS:
-            return {"event_type": "BUSY", "op_id": decision.lookup,
-                    "retry_after_us": micros(decision.back_in) if decision.back_in else 0}
+            return {
+                "event_type": "BUSY",
+                "op_id": decision.lookup,
+                "retry_after_us": micros(decision.back_in) if decision.back_in else 0,
+            }
         case Act.SCRAP:
             return {"event_type": "DROP_REQUEST", "op_id": decision.lookup}
         case Act.SUBSCRIBE:
--- a/foxspread/simhost/host.py
+++ b/foxspread/simhost/host.py
@@ -18,16 +18,27 @@
         balancer = self.balancer
         match kind:
             case "DEMAND":
-                balancer.lookup_taken(now, need(event, "op_id", str), need(event, "lane", str),
-                                      need(event, "budget_us", int) / 1e6, event.get("customer") or "",
-                                      event.get("name_key") or "", bool(event.get("retry")))
+                balancer.lookup_taken(
+                    now,
+                    need(event, "op_id", str),
+                    need(event, "lane", str),
+                    need(event, "budget_us", int) / 1e6,
+                    event.get("customer") or "",
+                    event.get("name_key") or "",
+                    bool(event.get("retry")),
+                )
             case "VERDICT":
-                balancer.hand_off_ended(now, need(event, "op_id", str), need(event, "shot", int)
-                                        if "shot" in event else 0, outcome(event), bool(event.get("last")))
+                balancer.hand_off_ended(
+                    now,
+                    need(event, "op_id", str),
+                    need(event, "shot", int) if "shot" in event else 0,
+                    outcome(event),
+                    bool(event.get("last")),
+                )
             case "STATUS_BACK" | "FROM_PEER":
-                pass   # no decision sends probes or messages: measured, neither paid (docs/status.md)
+                pass  # no decision sends probes or messages: measured, neither paid (docs/status.md)
             case "FLOWING":
-                if need(event, "op_id", str) in balancer.lookups:   # as what passes: no more is decided
+                if need(event, "op_id", str) in balancer.lookups:  # as what passes: no more is decided
                     balancer.body_passes(now, event["op_id"], 0, False)
             case "CANCELLED_BY_CLIENT":
                 balancer.client_left(now, need(event, "op_id", str))
@@ -37,12 +48,13 @@
         while (decision := self.balancer.next_decision(now)) is not None:
             done.append(codec.action(decision))
         wake = self.balancer.wake_at()
-        if self.alarm is not None and self.alarm <= now + 1e-6:   # the wire counts whole microseconds
+        if self.alarm is not None and self.alarm <= now + 1e-6:  # the wire counts whole microseconds
             self.alarm = None
         if wake is not None and (self.alarm is None or wake < self.alarm):
             self.alarm = max(wake, now)
-            done.append({"event_type": "SET_ALARM", "name": "wake",
-                         "wait_us": codec.micros(self.alarm - now)})
+            done.append(
+                {"event_type": "SET_ALARM", "name": "wake", "wait_us": codec.micros(self.alarm - now)}
+            )
         return done
 
 
@@ -72,7 +84,7 @@
                 actions = self.instances[number].decide(now) if number in self.instances else []
             except Malformed:
                 raise
-            except Exception as error:   # the decisions failed: the wire has a word for it
+            except Exception as error:  # the decisions failed: the wire has a word for it
                 actions = [{"event_type": "BUG", "body_text": f"{type(error).__name__}: {error}"}]
             if actions:
                 out.append({"sidecar_id": number, "do": actions})
--- a/foxspread/sums.py
+++ b/foxspread/sums.py
@@ -12,7 +12,7 @@
     __slots__ = ("span", "value", "at")
 
     def __init__(self, span: float, value: float = 0.0) -> None:
-        self.span, self.value, self.at = span, value, math.inf   # a first value stands until first read
+        self.span, self.value, self.at = span, value, math.inf  # a first value stands until first read
 
     def read(self, now: float) -> float:
         if now > self.at:
@@ -21,7 +21,7 @@
         return self.value
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        if now > self.at:   # as `read`, without the call
+        if now > self.at:  # as `read`, without the call
             self.value *= math.exp((self.at - now) / self.span)
         self.at = now
         self.value += amount
@@ -75,19 +75,19 @@
         return self.total, self.count
 
     def add(self, now: float, value: float, times: float = 1.0) -> None:
-        if now > self.at:   # as `sums`, without the call
+        if now > self.at:  # as `sums`, without the call
             left = math.exp((self.at - now) / self.span)
             self.total *= left
             self.count *= left
         self.at = now
         self.total += value
         self.count += times
-        if self.count > self.most:   # where much comes, what is old yields sooner
+        if self.count > self.most:  # where much comes, what is old yields sooner
             self.total *= self.most / self.count
             self.count = self.most
 
     def read(self, now: float, usual: float | None = None) -> float:
-        if now > self.at:   # as `sums`, without the call
+        if now > self.at:  # as `sums`, without the call
             left = math.exp((self.at - now) / self.span)
             self.total *= left
             self.count *= left
@@ -103,9 +103,12 @@
     @staticmethod
     def better_half(now: float, several: list["Mean"]) -> tuple[float, float]:
         """Total and count of those with the lower means, of the ones that hold anything worth the name."""
-        sums = sorted((total / count, total, count) for total, count in (each.sums(now) for each in several)
-                      if count >= 0.5)
-        half = sums[:(len(sums) + 1) // 2]
+        sums = sorted(
+            (total / count, total, count)
+            for total, count in (each.sums(now) for each in several)
+            if count >= 0.5
+        )
+        half = sums[: (len(sums) + 1) // 2]
         return sum(total for _, total, _ in half), sum(count for _, _, count in half)
 
 
--- a/tests/decisions/test_cold.py
+++ b/tests/decisions/test_cold.py
@@ -16,7 +16,7 @@
         it = ServerList(0.1, 20.0, 2.5, Chance(1))
         it.update(100.0, [*servers(NAMES[:3]), *servers(["s4"], started=100.0)], True)
         sent = []
-        for step in range(1000):   # ten a second to each warm server
+        for step in range(1000):  # ten a second to each warm server
             now = 100 + step / 100
             if step % 10 == 0:
                 it.served["a", ""].add(now, 3.0)
@@ -32,7 +32,7 @@
         for seed in range(300):
             fleet.append(ServerList(0.13, 23.0, 3.0, Chance(seed)))
             fleet[-1].update(100.0, servers(names), True)
-        for step in range(60):   # each takes two lookups a second
+        for step in range(60):  # each takes two lookups a second
             for number, it in enumerate(fleet):
                 now = 100 + step / 2 + number / 600
                 if step == 20:
@@ -54,7 +54,7 @@
         for kind, count in (("fast", 400.0), ("slow", 400.0)):
             it.served["a", kind].add(110.0, count)
         self.assertAlmostEqual(it.allowance(110.0, "s3"), 1.5 * it.warmth(110.0, "s3") * 20.0)
-        it.update(110.0, [*warm[:1], *servers(["s3"], started=100.0, kind="slow")], True)   # of others: half
+        it.update(110.0, [*warm[:1], *servers(["s3"], started=100.0, kind="slow")], True)  # of others: half
         self.assertAlmostEqual(it.allowance(110.0, "s3"), 1.5 * it.warmth(110.0, "s3") * 20.0)
 
     def test_a_cold_server_that_answers_quickly_gets_more_and_a_slow_one_less_within_the_contract(self):
@@ -62,7 +62,7 @@
             it = balancer([*servers(["w1"]), *servers(["c"], started=100.0)], cold=(0.1, 20.0, 4.0))
             it.servers.served["a", ""].add(101.0, 100.0)
             plain = 2.0 * it.servers.warmth(101.0, "c") * 10.0
-            self.assertAlmostEqual(it.servers.allowance(101.0, "c"), plain)   # nothing is known of it
+            self.assertAlmostEqual(it.servers.allowance(101.0, "c"), plain)  # nothing is known of it
             for _ in range(12):
                 it.measures.slow["c"].add(101.0, ratio)
             self.assertAlmostEqual(it.servers.allowance(101.0, "c"), plain * times)
@@ -74,11 +74,11 @@
         it.served["a", "k"].add(101.0, 400.0)
         share = it.allowance(101.0, "c")
         it.update(101.0, all[1:], True)
-        self.assertAlmostEqual(it.allowance(101.0, "c"), 1.25 * share)   # not twice
+        self.assertAlmostEqual(it.allowance(101.0, "c"), 1.25 * share)  # not twice
         it.update(101.0, [*all[1:], *servers(["o"], kind="other")], True)
         it.served["a", "other"].add(101.0, 100.0)
         it.in_use = it.warm(101.0, {"w2"})
-        self.assertAlmostEqual(it.allowance(101.0, "c"), share / 2)   # of the only sound one
+        self.assertAlmostEqual(it.allowance(101.0, "c"), share / 2)  # of the only sound one
 
     def test_all_just_started_still_get_something(self):
         it = ServerList(0.1, 20.0, 2.5, Chance(1))
--- a/tests/decisions/test_marks.py
+++ b/tests/decisions/test_marks.py
@@ -39,7 +39,7 @@
         it = marks()
         for step in range(200):
             it.record(100 + step / 20, NAMES[step % 4], step // 4 % 2 == 0, trial=False)
-        for _ in range(2):   # one alone may be a moment's: with much traffic there are some of those
+        for _ in range(2):  # one alone may be a moment's: with much traffic there are some of those
             self.assertFalse(it.marked)
             it.record(110.0, "s1", FAIL, trial=False, weight=3)
         self.assertEqual(it.marked, {"s1"})
--- a/tests/decisions/test_measures.py
+++ b/tests/decisions/test_measures.py
@@ -53,7 +53,7 @@
             it.brisk.add(0.25 + step % 5 * 0.05)
             it.slow[""].add(100.0, 0.35)
         self.assertGreater(it.room_in_all(100.0, 0.7, 0.1, 0.95), 0)
-        for _ in range(30):   # crowded, though, it dismisses
+        for _ in range(30):  # crowded, though, it dismisses
             it.brisk.add(1.4)
             it.slow[""].add(110.0, 1.4)
         self.assertEqual(it.room_in_all(110.0, 0.7, 0.1, 0.95), 0)
@@ -63,7 +63,7 @@
         for spare, most in ((0.1, 4.93), (1.5, 7.5)):
             self.assertAlmostEqual(measures().room_in_all(100.0, 1.0, spare, 0.0), most, delta=0.01)
         it = measures()
-        for done, spare, most in ((20.0, 3.0, 15.0), (80.0, 0.6, 13.9), (8.0, 0.6, 3.3)):   # as they end
+        for done, spare, most in ((20.0, 3.0, 15.0), (80.0, 0.6, 13.9), (8.0, 0.6, 3.3)):  # as they end
             it.done[""] = Decaying(8.0, done), 0.0
             self.assertAlmostEqual(it.room_in_all(100.0, 1.0, spare, 0.0), most, delta=0.4)
 
@@ -74,9 +74,9 @@
             self.assertAlmostEqual(it.part_of_turn(100.0, ListedServer("s1"), 1.0), part, delta=0.01)
 
     def test_a_customer_is_over_its_share_only_beyond_chance(self):
-        for more, low, high in ((2, 0.0, 0.1), (5, 0.6, 0.9)):   # one in so many lookups is the other's
+        for more, low, high in ((2, 0.0, 0.1), (5, 0.6, 0.9)):  # one in so many lookups is the other's
             it, over = balancer(customers=[Customer(name, 0.5) for name in "mn"], sidecars=100), 0
-            for step in range(400):   # ten a second; counted to the last one, half are over at even shares
+            for step in range(400):  # ten a second; counted to the last one, half are over at even shares
                 it.lookup_taken(100 + step / 10, f"x{step}", "c", 3.0, "mn"[crc32(b"%d" % step) % more == 0])
                 over += it.lookups[f"x{step}"].worth * it.measures.usual(140.0, it.categories["c"]) < 0.5
             self.assertTrue(low <= over / 400 < high, over)
--- a/tests/decisions/test_rotation.py
+++ b/tests/decisions/test_rotation.py
@@ -41,11 +41,10 @@
         self.assertLess(it.share, 0.5)
         it.weigh(groups, dict.fromkeys(groups, 4.0), {"a": 1.0, "b": 1.2, "c": 1.1})
         self.assertGreaterEqual(it.share, 1.0)
-        it.weigh({"a": NAMES}, {"a": 4.0}, {"a": 3.0})   # alone, it has nowhere to spill to
+        it.weigh({"a": NAMES}, {"a": 4.0}, {"a": 3.0})  # alone, it has nowhere to spill to
         self.assertGreaterEqual(it.share, 1.0)
 
 
-
 def by_chance(it):
     return lambda zone: it.chance.draw()
 
@@ -60,8 +59,9 @@
         for names in ([0, 1, 2], [("", 0), ("", 1), ("", 2)]):
             for key in ("", "k"):
                 it, ring = Rotation(0, Chance(1)), Ring(names)
-                picks = {it.pick(0, ring, nothing_held, 0.0, whole_turn, lambda _: True, key)
-                         for _ in range(30)}
+                picks = {
+                    it.pick(0, ring, nothing_held, 0.0, whole_turn, lambda _: True, key) for _ in range(30)
+                }
                 self.assertEqual(sorted(picks), names)
 
     def test_passes_over_one_well_above_the_mean(self):
@@ -100,7 +100,7 @@
         names, chance, got = [f"s{n:02d}" for n in range(24)], random.Random(1), Counter()
         for seed in range(40):
             it, ring = Rotation("a", Chance(seed), few=1), Ring(names)
-            for key in chance.choices(range(1500), [1 / rank ** 0.75 for rank in range(1, 1501)], k=250):
+            for key in chance.choices(range(1500), [1 / rank**0.75 for rank in range(1, 1501)], k=250):
                 got[key, it.pick("a", ring, nothing_held, 0.0, whole_turn, lambda s: True, f"k{key}")] += 1
         shares = [sum(got[key, name] for key in range(1500)) * 24 / got.total() for name in names]
         self.assertTrue(0.75 < min(shares) and max(shares) < 1.2, shares)
@@ -108,6 +108,8 @@
 
     def test_half_a_turn_is_every_other_round(self):
         it, half = Rotation("a", Chance(1)), {"s1": 0.5}
-        picks = [it.pick("a", Ring(NAMES), nothing_held, 0.0, lambda s: half.get(s, 1.0), lambda s: True)
-                 for _ in range(70)]
+        picks = [
+            it.pick("a", Ring(NAMES), nothing_held, 0.0, lambda s: half.get(s, 1.0), lambda s: True)
+            for _ in range(70)
+        ]
         self.assertAlmostEqual(picks.count("s1"), 10, delta=1)
--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -19,7 +19,7 @@
 class Build(unittest.TestCase):
     def test_only_what_is_not_whole_is_built_and_once(self) -> None:
         """Each case: what befalls a first build, how many run at once then, and how often it was built."""
-        pins = "echo uvloop==2 >requirements.txt; touch -d @0 requirements.txt"   # a copy that keeps times
+        pins = "echo uvloop==2 >requirements.txt; touch -d @0 requirements.txt"  # a copy that keeps times
         cut_off = "rm -r .venv; touch offline; sh deploy/build.sh; rm offline"
         for befalls, at_once, built in (("true", 1, 1), (pins, 1, 2), ("rm .venv/modules", 1, 2),
                                         ("rm -r .venv", 2, 2), (cut_off, 1, 3)):  # fmt: skip
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,10 +24,23 @@
 
 def balancer(listed=None, effect=Effect.REDOABLE, scope="cell", **changes):
     category = Category("c", 1.0, 3.0, 1.0, 0.5, effect, scope, 5.0)
-    settings = dict(seed=7, zone="a", sidecars=1, categories=[category], customers=[],
-                    surplus_benefit=0.2, max_hand_offs=4, copies=False, calling_off=True,
-                    longest_back_in=0.0, tick=0.005, asks=False, keys_remembered=False, waste_price=0.1,
-                    cold=(0.1, 20.0, 2.5))
+    settings = dict(
+        seed=7,
+        zone="a",
+        sidecars=1,
+        categories=[category],
+        customers=[],
+        surplus_benefit=0.2,
+        max_hand_offs=4,
+        copies=False,
+        calling_off=True,
+        longest_back_in=0.0,
+        tick=0.005,
+        asks=False,
+        keys_remembered=False,
+        waste_price=0.1,
+        cold=(0.1, 20.0, 2.5),
+    )
     settings.update(changes)
     it = Balancer(100.0, **settings)
     it.servers_listed(100.0, servers() if listed is None else listed, True)
@@ -65,21 +78,36 @@
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 SILENT = None
-LOOKUP = (b"POST /pay?user=u1 HTTP/1.1\r\nHost: b\r\nX-Txn: t1\r\nX-Lane: pay\r\nX-Remaining: 900m\r\n"
-          b"Idempotency-Key: k1\r\nContent-Length: 3\r\n\r\nabc")
-SETTINGS = {"az": "a", "siblings": 1,
-            "limits": {"max_hand_offs": 3, "parallel_tries": True, "cancelling": True},
-            "categories": [{"name": "pay", "expected_time_us": 500_000, "abandon_time_us": 1_500_000,
-                            "semantics": "guarded", "key_scope": "cell", "repeat_window_us": 7_500_000}]}
+LOOKUP = (
+    b"POST /pay?user=u1 HTTP/1.1\r\nHost: b\r\nX-Txn: t1\r\nX-Lane: pay\r\nX-Remaining: 900m\r\n"
+    b"Idempotency-Key: k1\r\nContent-Length: 3\r\n\r\nabc"
+)
+SETTINGS = {
+    "az": "a",
+    "siblings": 1,
+    "limits": {"max_hand_offs": 3, "parallel_tries": True, "cancelling": True},
+    "categories": [
+        {
+            "name": "pay",
+            "expected_time_us": 500_000,
+            "abandon_time_us": 1_500_000,
+            "semantics": "guarded",
+            "key_scope": "cell",
+            "repeat_window_us": 7_500_000,
+        }
+    ],
+}
 
 
 def on_loop(test):
     """Runs an async test on the loop that the sidecar uses."""
+
     @functools.wraps(test)
     def run(self):
         with warnings.catch_warnings(), asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            warnings.simplefilter("ignore", ResourceWarning)   # what a test leaves open ends with its loop
+            warnings.simplefilter("ignore", ResourceWarning)  # what a test leaves open ends with its loop
             runner.run(asyncio.wait_for(test(self), 20))
+
     return run
 
 
@@ -89,9 +117,15 @@
 
 def told(discovery="127.0.0.1:1", listen="127.0.0.1:0", known=(), **more):
     """The configuration file's content."""
-    return {"name": "n0", "listen": listen, "discovery": str(discovery), "seed": "0f",
-            "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": {"version": 4, "full": True, "servers": known}, "settings": SETTINGS} | more
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": str(discovery),
+        "seed": "0f",
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "known": {"version": 4, "full": True, "servers": known},
+        "settings": SETTINGS,
+    } | more
 
 
 def configured(path, **parts):
@@ -120,8 +154,14 @@
         try:
             for reply in self.replies:
                 head = await reader.readuntil(b"\r\n\r\n")
-                size = next((int(line[15:]) for line in head.split(b"\r\n")
-                             if line.lower().startswith(b"content-length:")), 0)
+                size = next(
+                    (
+                        int(line[15:])
+                        for line in head.split(b"\r\n")
+                        if line.lower().startswith(b"content-length:")
+                    ),
+                    0,
+                )
                 self.got.append(head + await reader.readexactly(size))
                 self.asked.set()
                 if isinstance(reply, list):
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -23,8 +23,11 @@
 class TestUpgrade(unittest.TestCase):
     @on_loop
     async def test_two_upgrades_in_a_row_with_lookups_in_flight_and_servers_out_by_hand(self):
-        async with StandIn([OK], *[OK] * 9) as server, StandIn(OK) as out, \
-                Platform(told(known=[entry(server.address), entry(out.address, "s2")])) as platform:
+        async with (
+            StandIn([OK], *[OK] * 9) as server,
+            StandIn(OK) as out,
+            Platform(told(known=[entry(server.address), entry(out.address, "s2")])) as platform,
+        ):
             first, door1 = await platform.serving()
             self.assertEqual(await call(door1, b"PUT /servers/s2/maint"), 200)
             reader, writer = await asyncio.open_connection(*platform.sock.getsockname())
@@ -33,7 +36,7 @@
             second, door2 = await platform.serving()
             await line(first, "a successor serves, lookups=1")
             self.assertEqual(await call(door1, b"GET /healthcheck"), 503)
-            self.assertEqual(status(await ask(platform.listen, lookup(b"held"))), 400)   # its id was taken
+            self.assertEqual(status(await ask(platform.listen, lookup(b"held"))), 400)  # its id was taken
             server.go.set()
             answer = await read_answer(reader)
             self.assertEqual(status(answer), 200)
@@ -42,8 +45,8 @@
             third, door3 = await platform.serving()
             answers = [await ask(platform.listen, lookup(b"n%d" % n)) for n in range(5)]
             self.assertEqual(list(map(status, answers)), [200] * 5)
-            self.assertEqual(out.got, [])   # still out, two versions later
-            await line(first, "stopped lookups=0")   # by itself, when its last client had left
+            self.assertEqual(out.got, [])  # still out, two versions later
+            await line(first, "stopped lookups=0")  # by itself, when its last client had left
             second.send_signal(signal.SIGTERM)
             self.assertEqual([await first.wait(), await second.wait()], [0, 0])
             self.assertEqual(await call(door3, b"PUT /servers/s2/ready"), 200)
@@ -57,14 +60,14 @@
             first, door1 = await platform.serving()
             reader, writer = await asyncio.open_connection(*platform.sock.getsockname())
             writer.write(lookup(b"held"))
-            await server.asked.wait()   # so the first one stays
+            await server.asked.wait()  # so the first one stays
             second, door2 = await platform.serving()
             await line(first, "a successor serves")
             self.assertEqual(await call(door1, b"PUT /servers/s1/maint"), 200)
             self.assertIn("server=s1", await line(second, "out by hand"))
             self.assertEqual(await call(door2, b"PUT /servers/s1/ready"), 200)
             self.assertIn("server=s1", await line(first, "back by hand"))
-            first.send_signal(signal.SIGSTOP)   # it hangs: no promise for it
+            first.send_signal(signal.SIGSTOP)  # it hangs: no promise for it
             self.assertEqual(await call(door2, b"PUT /servers/s1/maint"), 503)
             first.kill()
             await line(second, "the link to the predecessor has ended")
@@ -75,8 +78,14 @@
     async def test_a_bad_descriptor_ends_the_start_naming_it(self):
         async with Platform(told()) as platform:
             with socket.socket() as deaf, socket.create_server(("127.0.0.1", 0)) as other:
-                for passed, sock in (("three", None), ("-1", None), ("99999", None), ("1", None),
-                                     (str(deaf.fileno()), deaf), (str(other.fileno()), other)):
+                for passed, sock in (
+                    ("three", None),
+                    ("-1", None),
+                    ("99999", None),
+                    ("1", None),
+                    (str(deaf.fileno()), deaf),
+                    (str(other.fileno()), other),
+                ):
                     held, platform.sock = platform.sock, sock or platform.sock
                     process, _ = await platform.start(passed)
                     platform.sock = held
@@ -90,17 +99,28 @@
         sock = socket.create_server(("127.0.0.1", 0))
         path.write_text(json.dumps(told(listen="%s:%s" % sock.getsockname(), known=list(known))))
         with mock.patch.dict(os.environ, {"TMPDIR": folder}):
-            it = Sidecar(asyncio.get_running_loop(), config.read(
-                {"EDGE_CONFIG": str(path), "EDGE_PASSED_SOCKET": str(sock.detach())}))
+            it = Sidecar(
+                asyncio.get_running_loop(),
+                config.read({"EDGE_CONFIG": str(path), "EDGE_PASSED_SOCKET": str(sock.detach())}),
+            )
         it.running = asyncio.ensure_future(it.run(asyncio.Event()))
         return it
 
     @on_loop
     async def test_what_is_no_record_of_this_version_leads_to_a_fresh_start_and_is_told(self):
-        for said in (b"", b"noise\n", b"[]\n", b'{"version": 2, "state": {}}\n', b'{"version": 1}\n',
-                     b'{"version": 1, "state": {"list": 3}}\n', b"x" * 9000, None,
-                     b"[" * 5000 + b"\n"):
+        for said in (
+            b"",
+            b"noise\n",
+            b"[]\n",
+            b'{"version": 2, "state": {}}\n',
+            b'{"version": 1}\n',
+            b'{"version": 1, "state": {"list": 3}}\n',
+            b"x" * 9000,
+            None,
+            b"[" * 5000 + b"\n",
+        ):
             with tempfile.TemporaryDirectory() as folder:
+
                 async def predecessor(reader, writer, said=said):
                     await reader.readline()
                     if said is not None:
@@ -109,8 +129,10 @@
 
                 path = os.path.join(folder, "foxspread-n0.sock")
                 server = await asyncio.start_unix_server(predecessor, path)
-                with mock.patch.multiple(handover, RECORD_WAIT=0.1, LINE_MOST=8000), \
-                        mock.patch.object(handover, "logger") as logger:
+                with (
+                    mock.patch.multiple(handover, RECORD_WAIT=0.1, LINE_MOST=8000),
+                    mock.patch.object(handover, "logger") as logger,
+                ):
                     it = self.sidecar(folder, [entry("127.0.0.1:1")])
                     await it.handover.settled.wait()
                 self.assertIn("fresh start", logger.warning.call_args.args[0], said)
@@ -141,7 +163,7 @@
                 state = json.loads(await reader.readline())["state"]
                 self.assertEqual([row["id"] for row in state["list"]["servers"]], ["s1"])
                 self.assertTrue(it.facade.balancer.servers.yielded)
-                other, theirs = await asyncio.open_unix_connection(path)   # a second one meanwhile
+                other, theirs = await asyncio.open_unix_connection(path)  # a second one meanwhile
                 theirs.write(b'{"hello": 1}\n')
                 self.assertNotIn(b"state", await other.readline())
                 if dies:
@@ -179,7 +201,7 @@
             writer.write(b'{"hello": 1}\n')
             while it.heir is None:
                 await asyncio.sleep(0)
-            for _ in range(50):   # nobody reads them: the link is full at the first few
+            for _ in range(50):  # nobody reads them: the link is full at the first few
                 it.taken("x" * 1_000_000)
                 await asyncio.sleep(0.001)
             self.assertLessEqual(len(it.others), 1)
@@ -197,14 +219,16 @@
             self.assertFalse(await successor.forward("nobody", True))
             party.turned.assert_not_called()
             alone = handover.Handover(asyncio.get_running_loop(), it.handover.path + "x", party)
-            with self.assertRaises(TimeoutError):   # nobody decides yet: no promise
+            with self.assertRaises(TimeoutError):  # nobody decides yet: no promise
                 await alone.forward("s1", True)
 
     def test_each_name_has_a_path_of_its_own_in_the_folder(self):
         names = ["n1", "a/b", "a%2fb", "../x", "ü"]
         paths = {handover_path(name) for name in names}
-        self.assertEqual((len(paths), {os.path.dirname(path) for path in paths}),
-                         (len(names), {os.path.dirname(handover_path("n"))}))
+        self.assertEqual(
+            (len(paths), {os.path.dirname(path) for path in paths}),
+            (len(names), {os.path.dirname(handover_path("n"))}),
+        )
 
 
 if __name__ == "__main__":
--- a/tests/net/test_operations.py
+++ b/tests/net/test_operations.py
@@ -36,9 +36,9 @@
         reader, writer = await asyncio.open_connection(*self.it.door.sock.getsockname())
         data = line + b" HTTP/1.1\r\nHost: o\r\n" + rest + b"\r\n"
         for at in range(0, len(data), pieces):
-            writer.write(data[at:at + pieces])
+            writer.write(data[at : at + pieces])
             await writer.drain()
-        answer = await reader.read()   # to the end: one call to a connection
+        answer = await reader.read()  # to the end: one call to a connection
         writer.close()
         return answer
 
@@ -46,8 +46,9 @@
         return json.loads((await self.call(b"GET /stats")).partition(b"\r\n\r\n")[2])
 
     async def lookup(self, id, **changes):
-        return await ask(self.it.listener.address, LOOKUP.replace(b"t1", id).replace(
-            b"900m", changes.get("left", b"900m")))
+        return await ask(
+            self.it.listener.address, LOOKUP.replace(b"t1", id).replace(b"900m", changes.get("left", b"900m"))
+        )
 
 
 def status(answer):
@@ -59,16 +60,23 @@
     async def test_each_call_has_its_status_and_a_line_of_text_in_pieces_of_any_size(self):
         async with Running(known=[entry("127.0.0.1:1", id="s/1 é")]) as it:
             for line, rest, wanted in (
-                    (b"GET /healthcheck", b"", 200),
-                    (b"GET /healthcheck?x=1", b"", 200),
-                    (b"GET /stats", b"", 200), (b"PUT /healthcheck", b"", 405),
-                    (b"POST /stats", b"", 405), (b"GET /servers/s1/maint", b"", 405),
-                    (b"GET /", b"", 404), (b"PUT /servers/s1", b"", 404),
-                    (b"PUT /servers/nobody/maint", b"", 404), (b"PUT /servers/nobody/ready", b"", 404),
-                    (b"PUT /servers/%ff/maint", b"", 400), (b"PUT /servers/s%2f1%20%C3%A9/maint", b"", 200),
-                    (b"PUT /servers/s%2f1%20%C3%A9/ready", b"Content-Length: 0\r\n", 200),
-                    (b"GET /stats", b"X: " + b"y" * 20_000 + b"\r\n", 431), (b"NONSENSE", b"", 400),
-                    (b"PUT /servers/s1/maint", b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", 400)):
+                (b"GET /healthcheck", b"", 200),
+                (b"GET /healthcheck?x=1", b"", 200),
+                (b"GET /stats", b"", 200),
+                (b"PUT /healthcheck", b"", 405),
+                (b"POST /stats", b"", 405),
+                (b"GET /servers/s1/maint", b"", 405),
+                (b"GET /", b"", 404),
+                (b"PUT /servers/s1", b"", 404),
+                (b"PUT /servers/nobody/maint", b"", 404),
+                (b"PUT /servers/nobody/ready", b"", 404),
+                (b"PUT /servers/%ff/maint", b"", 400),
+                (b"PUT /servers/s%2f1%20%C3%A9/maint", b"", 200),
+                (b"PUT /servers/s%2f1%20%C3%A9/ready", b"Content-Length: 0\r\n", 200),
+                (b"GET /stats", b"X: " + b"y" * 20_000 + b"\r\n", 431),
+                (b"NONSENSE", b"", 400),
+                (b"PUT /servers/s1/maint", b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", 400),
+            ):
                 for pieces in (1, 7, 1 << 20) if len(rest) < 1000 else (1 << 20,):
                     answer = await it.call(line, rest, pieces)
                     self.assertEqual(status(answer), wanted, (line, answer))
@@ -79,13 +87,15 @@
     async def test_callers_that_finish_no_call_hold_up_nobody_and_are_ended(self):
         with mock.patch.object(operations, "PATIENCE", 0.3):
             async with Running() as it:
-                idle = [await asyncio.open_connection(*it.it.door.sock.getsockname())
-                        for _ in range(3 * operations.CALLERS)]
+                idle = [
+                    await asyncio.open_connection(*it.it.door.sock.getsockname())
+                    for _ in range(3 * operations.CALLERS)
+                ]
                 self.assertEqual(status(await asyncio.wait_for(it.call(b"GET /stats"), 1.0)), 200)
                 self.assertLessEqual(len(it.it.door.callers), operations.CALLERS)
                 answers = [await reader.read() for reader, _ in idle]
                 self.assertEqual({status(each) for each in answers if each}, {408})
-                await asyncio.gather(*it.it.door.callers.values())   # each ends by its time
+                await asyncio.gather(*it.it.door.callers.values())  # each ends by its time
 
     @on_loop
     async def test_a_sidecar_without_a_ready_server_or_one_that_stops_says_no(self):
@@ -109,24 +119,38 @@
 class TestFigures(unittest.TestCase):
     @on_loop
     async def test_every_kind_of_ending_counts_once_as_the_client_saw_it(self):
-        async with StandIn(OK, b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") as good, \
-                Running(known=[entry(good.address)]) as it:
-            self.assertEqual(await it.stats(), {
-                "results": {"pay": {"succeeded": 0, "declined": 0, "aborted": 0}}, "forwards": 0,
-                "outstanding": 0, "discovered": 1, "ejected": 0})
-            seen = [status(await it.lookup(id)) for id in (b"d1", b"d2")]   # done; failed at the only server
+        async with (
+            StandIn(OK, b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n") as good,
+            Running(known=[entry(good.address)]) as it,
+        ):
+            self.assertEqual(
+                await it.stats(),
+                {
+                    "results": {"pay": {"succeeded": 0, "declined": 0, "aborted": 0}},
+                    "forwards": 0,
+                    "outstanding": 0,
+                    "discovered": 1,
+                    "ejected": 0,
+                },
+            )
+            seen = [status(await it.lookup(id)) for id in (b"d1", b"d2")]  # done; failed at the only server
             it.it.shed.share = 1.0
-            seen.append(status(await it.lookup(b"d3")))                     # shed unread
+            seen.append(status(await it.lookup(b"d3")))  # shed unread
             it.it.shed.share = 0.0
             with mock.patch.object(it.it.facade, "pick", side_effect=ValueError):
-                seen.append(status(await it.lookup(b"d4")))                 # a fault of our own
-            seen.append(status(await it.lookup(b"d5", left=b"1m")))         # overdue
-            await ask(it.it.listener.address, b"GET /other HTTP/1.1\r\n\r\n")   # no lookup
+                seen.append(status(await it.lookup(b"d4")))  # a fault of our own
+            seen.append(status(await it.lookup(b"d5", left=b"1m")))  # overdue
+            await ask(it.it.listener.address, b"GET /other HTTP/1.1\r\n\r\n")  # no lookup
             found = await it.stats()
             self.assertEqual(seen[0], 200)
-            self.assertEqual(found["results"]["pay"], {
-                "succeeded": seen.count(200), "declined": seen.count(503),
-                "aborted": sum(each not in (200, 503) for each in seen)})
+            self.assertEqual(
+                found["results"]["pay"],
+                {
+                    "succeeded": seen.count(200),
+                    "declined": seen.count(503),
+                    "aborted": sum(each not in (200, 503) for each in seen),
+                },
+            )
             self.assertEqual(found["forwards"], len(good.got))
 
     @on_loop
@@ -137,7 +161,7 @@
             await server.asked.wait()
             found = await it.stats()
             self.assertEqual((found["outstanding"], found["forwards"]), (1, 1))
-            writer.close()   # the client leaves: the hand-off is called off
+            writer.close()  # the client leaves: the hand-off is called off
             await server.left.wait()
             found = await it.stats()
             self.assertEqual((found["forwards"], found["outstanding"]), (1, 0))
@@ -151,8 +175,16 @@
             for _ in range(2):
                 self.assertEqual(status(await it.call(b"PUT /servers/s1/maint")), 200)
             self.assertEqual((await it.stats())["ejected"], 1)
-            it.it._listed(config.list_part({"version": 5, "full": True, "servers": [
-                entry(one.address, started_ms=int(it.it.clock() * 1e3))]}, "list"))   # a new start: no matter
+            it.it._listed(
+                config.list_part(
+                    {
+                        "version": 5,
+                        "full": True,
+                        "servers": [entry(one.address, started_ms=int(it.it.clock() * 1e3))],
+                    },
+                    "list",
+                )
+            )  # a new start: no matter
             self.assertEqual(status(await it.lookup(b"a2")), 503)
             self.assertEqual(status(await it.call(b"PUT /servers/s1/ready")), 200)
             self.assertEqual(((await it.stats())["ejected"], len(one.got)), (0, 1))
--- a/tests/operator/test_file.py
+++ b/tests/operator/test_file.py
@@ -16,8 +16,12 @@
         with tempfile.NamedTemporaryFile("w+") as file:
             pathlib.Path(file.name).write_text("[learnt]\nfile = '/x'")
             self.assertEqual(read(file.name), Operator("/x"))
-            for text, fault in (("[learnt]\nfile = 3", "'learnt.file' must"), ("[", "cannot be read"),
-                                ("[learned]", "'learned' is"), ("[learnt]\nflie = ''", "'learnt.flie' is")):
+            for text, fault in (
+                ("[learnt]\nfile = 3", "'learnt.file' must"),
+                ("[", "cannot be read"),
+                ("[learned]", "'learned' is"),
+                ("[learnt]\nflie = ''", "'learnt.flie' is"),
+            ):
                 pathlib.Path(file.name).write_text(text)
                 with self.subTest(text), self.assertRaisesRegex(ConfigError, fault):
                     read(file.name)
--- a/tests/orchard/budget/test_budget.py
+++ b/tests/orchard/budget/test_budget.py
@@ -47,9 +47,7 @@
             chance = random.Random(seed)
             budgets = [Budget(RATIO, SLACK, SPAN) for _ in range(sidecars)]
             events = sorted(
-                (at, number)
-                for number in range(sidecars)
-                for at in bursts(chance, rate, 60.0, burst, pause)
+                (at, number) for number in range(sidecars) for at in bursts(chance, rate, 60.0, burst, pause)
             )
             asked, spent = [], []
             for at, number in events:
--- a/tests/orchard/configuration/test_reading.py
+++ b/tests/orchard/configuration/test_reading.py
@@ -66,8 +66,14 @@
     "a version of letters": (gates(rule(version="r7x")), "r1", "edition: 'r7x'"),
     "two routes at one place": (gates(rule(), rule(name="r2")), "r2", "host and prefix"),
     "two routes at one place, in capitals": (
-        {"lodge": {"gates": [*gates(rule())["lodge"]["gates"],
-                             *gates(rule(name="r2"), host="H.Example")["lodge"]["gates"]]}},
+        {
+            "lodge": {
+                "gates": [
+                    *gates(rule())["lodge"]["gates"],
+                    *gates(rule(name="r2"), host="H.Example")["lodge"]["gates"],
+                ]
+            }
+        },
         "r2",
         "host and prefix",
     ),  # fmt: skip
--- a/tests/orchard/control/test_desk.py
+++ b/tests/orchard/control/test_desk.py
@@ -125,7 +125,7 @@
         head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.assertEqual([413], self.sent(head + 5 * chunk))
         head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: 500\r\n\r\n"
-        self.assertEqual([], self.sent(head + orjson.dumps(CALL)[:100]))   # cut off, and the peer is gone
+        self.assertEqual([], self.sent(head + orjson.dumps(CALL)[:100]))  # cut off, and the peer is gone
         for change in (
             {"name": "n" * 65536},
             {"edition": "r" + "9" * 16},
--- a/tests/orchard/control/test_readiness.py
+++ b/tests/orchard/control/test_readiness.py
@@ -20,13 +20,13 @@
         for asked_at, age in ((30.0, None), (30.0, BASIS_S + 0.1), (30.0 - BASIS_S, 0.1)):
             ready.told(30.0, asked_at, age)
             self.assertFalse(ready.ready(True), (asked_at, age))
-        ready.told(31.0, 31.5, 0.0)   # of no asking of this life
+        ready.told(31.0, 31.5, 0.0)  # of no asking of this life
         self.assertFalse(ready.ready(True))
         ready.told(40.0, 39.9, 0.2)
         self.assertTrue(ready.ready(True))
         self.assertFalse(ready.ready(False))
         self.assertAlmostEqual(0.3, ready.age(40.0))
-        ready.told(60.0, 60.0, 25.0)   # an older word takes nothing back
+        ready.told(60.0, 60.0, 25.0)  # an older word takes nothing back
         self.assertTrue(ready.ready(True))
         self.assertAlmostEqual(20.3, ready.age(60.0))
 
--- a/tests/orchard/dataplane/test_lanes.py
+++ b/tests/orchard/dataplane/test_lanes.py
@@ -193,7 +193,7 @@
             (b"Keep-Alive: timeout=5, max=100\r\n", 3.1, False),
             (b"Keep-Alive: max=100, timeout=5\r\n", 3.1, False),
             (b"Keep-Alive: Timeout = 5\r\n", 3.1, False),
-            (b"keep-alive: timeout=\"5\"\r\n", 3.1, False),
+            (b'keep-alive: timeout="5"\r\n', 3.1, False),
             (b"Keep-Alive: timeout=60\r\n", 6.1, False),
             (b"Keep-Alive: timeout=x\r\n", 5.9, True),
             (b"Connection: close\r\n", 0.0, False),
--- a/tests/orchard/dataplane/test_path.py
+++ b/tests/orchard/dataplane/test_path.py
@@ -77,8 +77,10 @@
         (502, 1),
     ),
     "no id in a success": (
-        lambda line: (line.transport.write(b"HTTP/1.1 200 OK\r\nX-Stamp: s\r\nContent-Length: 0\r\n\r\n"),
-                      line.transport.close()),
+        lambda line: (
+            line.transport.write(b"HTTP/1.1 200 OK\r\nX-Stamp: s\r\nContent-Length: 0\r\n\r\n"),
+            line.transport.close(),
+        ),
         (200, 2),
         (502, 1),
     ),  # fmt: skip
@@ -125,9 +127,15 @@
     "silent": (lambda seen: Script([silent], seen), (200, 2), (504, 1)),
     "cut short": (
         lambda seen: Script(
-            [lambda line: (line.transport.write(b"HTTP/1.1 200 OK\r\nX-Orchard: sent 0\r\nX-Stamp: s\r\n"
-                                                b"Content-Length: 9\r\n\r\nall of"),
-                           line.transport.close())],
+            [
+                lambda line: (
+                    line.transport.write(
+                        b"HTTP/1.1 200 OK\r\nX-Orchard: sent 0\r\nX-Stamp: s\r\n"
+                        b"Content-Length: 9\r\n\r\nall of"
+                    ),
+                    line.transport.close(),
+                )
+            ],
             seen,
         ),
         (200, 2),
--- a/tests/orchard/membership/test_dialling.py
+++ b/tests/orchard/membership/test_dialling.py
@@ -20,7 +20,6 @@
 )
 
 
-
 def at(number):
     return ("10.0.0.%d" % number, 8282)
 
@@ -31,7 +30,7 @@
     def __init__(self, keeps=False, own=at(200), seeds=(), members=(), live=(), refuse=(), seed=1):
         self.now, self.live, self.refuse, self.made = 0.0, set(live), set(refuse), []
         self.silent, self.most_at_once = [], 0
-        self.cut = set()   # whose contact with a majority is lost
+        self.cut = set()  # whose contact with a majority is lost
         self.dialling = Dialling(0.0, own, keeps, seeds, random.Random(seed).random)
         self.dialling.agreed(0.0, members)
 
@@ -103,7 +102,7 @@
         self.assertEqual(LINKS_MOST, len(play.dialling.live))
         before = set(play.dialling.live)
         play.step(times=100)
-        self.assertEqual(before, set(play.dialling.live))   # and then nothing changes any more
+        self.assertEqual(before, set(play.dialling.live))  # and then nothing changes any more
         for each in play.dialling.live:
             play.dialling.contact(str(each), each != members[0])
         self.assertEqual(4, len(play.dialling.in_contact()))
--- a/tests/orchard/membership/test_views.py
+++ b/tests/orchard/membership/test_views.py
@@ -53,7 +53,7 @@
             self.assertTrue(3 <= len(view.of) <= SIZE, len(view.of))
             self.assertNotIn(view.me.node, view.of)
         known = [sum(v.me.node in other.of for other in fleet.views.values()) for v in fleet.views.values()]
-        self.assertTrue(max(known) < 30, max(known))   # the seeds do not stay in all views
+        self.assertTrue(max(known) < 30, max(known))  # the seeds do not stay in all views
 
     def test_the_gone_fall_out_and_the_rest_stays_connected(self):
         # Guards: a third that is gone, seeds among them, must not fill views for ever, nor split the rest.
@@ -81,5 +81,5 @@
         self.assertIsNone(view.shuffle(0.0))
         view.met(Neighbour("core", ("b", 1), True))
         self.assertEqual([], view.some_sides(2))
-        self.assertIsNone(view.shuffle(0.1))   # before its time
+        self.assertIsNone(view.shuffle(0.1))  # before its time
         self.assertEqual(("b", 1), view.shuffle(9.0)[0])
--- a/tests/orchard/registry/test_lives.py
+++ b/tests/orchard/registry/test_lives.py
@@ -121,10 +121,10 @@
         told(2.0, "b", "leaving", 2)
         spares.append(records.spares(3.0, "a", "z", 1.5))
         told(4.0, "b", "up", 1, life=2)
-        told(5.4, "b", "up", 2, life=2)   # more of the same life does not begin anew
+        told(5.4, "b", "up", 2, life=2)  # more of the same life does not begin anew
         spares += [records.spares(now, "a", "z", 1.5) for now in (5.0, 5.6)]
         self.assertEqual([False, True, False, False, True], spares)
-        self.assertTrue(records.spares(9.0, "far", "y", 1.5))   # the only one of its zone waits for nobody
+        self.assertTrue(records.spares(9.0, "far", "y", 1.5))  # the only one of its zone waits for nobody
 
     def test_how_many_sidecars_are_known(self):
         # Guards: counted as records come, whatever their order: the same as counting all of them.
--- a/tests/orchard/registry/test_spread.py
+++ b/tests/orchard/registry/test_spread.py
@@ -21,7 +21,7 @@
             self.assertTrue(wait.outcome(10.1, 1, ["k1"], 3))
             self.assertTrue(wait.outcome(10.0 + SPREAD_S, 1, ["k1", "k2", "k3"], 3))
             self.assertEqual(guards, wait.outcome(10.0 + SPREAD_S, 0, ["k1", "k2"], 3))
-            self.assertEqual(guards, wait.outcome(10.0 + SPREAD_S, 0, [], 3))   # only a cut-off one is linked
+            self.assertEqual(guards, wait.outcome(10.0 + SPREAD_S, 0, [], 3))  # only a cut-off one is linked
 
 
 class Guard(testtools.TestCase):
--- a/tests/orchard/replication/test_contact.py
+++ b/tests/orchard/replication/test_contact.py
@@ -40,10 +40,10 @@
         asking = self.asked(10.0)
         self.assertIsNone(self.asked(10.0 + 0.9 * ASK_S))
         self.contact.held(THREE, NEW)
-        self.assertIsNone(self.contact.age(10.1))   # itself alone is no majority
+        self.assertIsNone(self.contact.age(10.1))  # itself alone is no majority
         self.told(10.2, asking, said("m2"))
         self.contact.held(THREE, OLD)
-        self.assertIsNone(self.contact.age(10.2))   # what the other has seen is not held yet
+        self.assertIsNone(self.contact.age(10.2))  # what the other has seen is not held yet
         self.contact.held(THREE, NEW)
         self.assertAlmostEqual(0.2, self.contact.age(10.2))
         self.assertTrue(self.contact.current(10.0 + TELL_S))
--- a/tests/orchard/test_node.py
+++ b/tests/orchard/test_node.py
@@ -143,9 +143,7 @@
             loop = asyncio.get_running_loop()
             node = self.node(loop, "127.0.0.1", data_dir="x", serves=["control"])
             members = Members(0, ("127.0.0.1:8146", "m2", "m3"))
-            node.keeper = SimpleNamespace(
-                acceptor=SimpleNamespace(known=True), members=members, fresh=True
-            )
+            node.keeper = SimpleNamespace(acceptor=SimpleNamespace(known=True), members=members, fresh=True)
             node.keepers = {"m2": "k2"}
             past = (0, ((1, "d"),))
             rows = [Item(SERVICE, "s", 2, {"name": "s"}, past), Item(LEASE, MEMBERS, 1, {"holder": "m2"})]
@@ -174,10 +172,10 @@
             news = node._news("side", pull)
             self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
             self.assertEqual([row(rows[0].bare, (4, "l"))], pieces("side")[0]["rows"])
-            node.keeper.acceptor.known = False   # its disk came back empty: members are known from seeds only
+            node.keeper.acceptor.known = False  # its disk came back empty: members are known from seeds only
             self.assertEqual((False, False, 0), told("side"))
             node.keeper.acceptor.known = True
-            node.now += TELL_S   # it stood still: nothing has told it so yet
+            node.now += TELL_S  # it stood still: nothing has told it so yet
             self.assertEqual((False, False, 0), told("side"))
             self.assertEqual((True, False, 2), told("k2"))
 
--- a/tests/test_by_hand.py
+++ b/tests/test_by_hand.py
@@ -42,12 +42,12 @@
         it = balancer()
         mark_down(it.marks, "s1")
         it.by_hand(100.0, "s1", True)
-        self.assertTrue(it.by_hand(110.0, "s1", False) and it.by_hand(111.0, "s1", False))   # and a spare
+        self.assertTrue(it.by_hand(110.0, "s1", False) and it.by_hand(111.0, "s1", False))  # and a spare
         for started in (0.0, 105.0):
             it.servers_listed(112.0, servers(["s1"], started=started), False)
             self.assertLess(it.servers.warmth(112.0, "s1"), 0.2)
         self.assertFalse(it.marks.down("s1"))
-        it.servers_listed(113.0, servers(["s1"], started=113.0), False)   # a later start counts
+        it.servers_listed(113.0, servers(["s1"], started=113.0), False)  # a later start counts
         self.assertAlmostEqual(it.servers.warmth(113.0, "s1"), 0.1)
 
     def test_back_it_gets_a_lookup_within_five_seconds_however_thin_the_traffic(self):
@@ -69,15 +69,16 @@
             it.by_hand(200.0, "s1", False)
             came = [now for now in range(200, 219) if "s1" in sent_to(handled(it, now, f"l{now}"))]
             first += [now + number / 40 for now in came]
-        for at in first:   # one lookup a second and sidecar: ten a server, 2.5 times what it does for 2 s
-            self.assertLessEqual(sum(at <= other < at + 2.0 for other in first),
-                                 2.5 * 2.0 * 10.0 * it.servers.warmth(at, "s1"))
+        for at in first:  # one lookup a second and sidecar: ten a server, 2.5 times what it does for 2 s
+            self.assertLessEqual(
+                sum(at <= other < at + 2.0 for other in first), 2.5 * 2.0 * 10.0 * it.servers.warmth(at, "s1")
+            )
 
     def test_nothing_goes_to_a_cold_server_while_a_successor_has_the_budget(self):
         it = balancer(servers(["s1"], started=99.9))
         it.servers.tokens["s1"], it.servers.yielded = (1.0, 100.0), True
         self.assertEqual(sent_to(take(it, 100.0, "l")), [])
-        it.servers.yielded = False   # it has failed: as if nothing had been
+        it.servers.yielded = False  # it has failed: as if nothing had been
         self.assertEqual(sent_to(take(it, 100.1, "m")), ["s1"])
 
     def test_out_it_may_be_called_back_when_it_is_listed_no_more_and_ids_nobody_has_are_a_no(self):
@@ -85,7 +86,7 @@
         self.assertFalse(it.by_hand(100.0, "nobody", True) or it.by_hand(100.0, "nobody", False))
         it.by_hand(100.0, "s1", True)
         it.servers_listed(100.0, servers(ALL[1:]), True)
-        for now in (150.0, 200.0):   # it is forgotten
+        for now in (150.0, 200.0):  # it is forgotten
             pull(it, now)
         self.assertNotIn("s1", it.servers.known)
         self.assertTrue(it.by_hand(200.0, "s1", False))
@@ -102,11 +103,11 @@
         self.assertEqual(sent_to(take(it, 100.0, "l", left=3.0)), ["s1"])
         self.assertAlmostEqual(it.body_passes(100.1, "l", 0, False), 2.9)
         self.assertEqual((it._held("s1"), it.gate.open(100.1, it.lookups["l"])), (0, False))
-        self.assertEqual([pull(it, now) for now in (101.0, 103.0, 109.0)], [[]] * 3)   # its time stands still
+        self.assertEqual([pull(it, now) for now in (101.0, 103.0, 109.0)], [[]] * 3)  # its time stands still
         self.assertFalse(it.hushed)
         self.assertAlmostEqual(it.body_passes(110.0, "l", 0, True), 3.0)
         self.assertEqual((it._held("s1"), it.marks.down("s1")), (1, False))
-        it.hand_off_ended(110.2, "l", 0, Outcome.UNCONNECTED, False)   # it goes nowhere else
+        it.hand_off_ended(110.2, "l", 0, Outcome.UNCONNECTED, False)  # it goes nowhere else
         self.assertEqual((acts(pull(it, 110.2)), it._held("s1"), it.lookups), ([Act.DISMISS], 0, {}))
 
     def test_a_body_that_breaks_off_is_no_verdict_on_its_server(self):
--- a/tests/test_carry.py
+++ b/tests/test_carry.py
@@ -21,7 +21,7 @@
 
 class TestCarry(unittest.TestCase):
     def test_what_was_marked_gets_its_trial_and_nothing_before_and_paces_go_on(self):
-        first = sent_to(take(new(), 100.0, "x"))[0]   # where a new one would go at once
+        first = sent_to(take(new(), 100.0, "x"))[0]  # where a new one would go at once
         it, sent = new(), []
         self.assertEqual([carry.take_over(it, 100.0, told(first)), it.measures.turn["k"]], [1, 0.5])
         for step in range(90):
@@ -45,7 +45,7 @@
                 sent += sent_to(take(it, 100.0 + step / 10, f"x{step}"))
                 for id in list(it.lookups):
                     it.hand_off_ended(100.05 + step / 10, id, 0, Outcome.DONE, True)
-        self.assertTrue(len(sent) > 700 and sent.count("t") < 0.1 * 2.5 * len(sent) / 12)   # 12 are warm
+        self.assertTrue(len(sent) > 700 and sent.count("t") < 0.1 * 2.5 * len(sent) / 12)  # 12 are warm
 
     def test_a_whole_state_comes_back_as_it_was_and_a_part_of_one_is_refused_whole(self):
         fleet = [*servers(["w1", "w2", "w3", "w4"]), *servers(["c1"], started=95.0)]
@@ -72,12 +72,17 @@
 
     def test_what_is_no_record_is_refused_whole(self):
         mark = {"server": "s00", "started": 0.0, "category": None, "until": 104.0, "spell": 4.0}
-        rows = [mark | {"until": float("nan")}, mark | {"spell": None}, mark | {"started": 10 ** 400}, {}, 3]
-        for bad in ([], {}, {"version": 2, "marks": [], "turns": {}}, {"version": 1, "marks": 3, "turns": {}},
-                    *({"version": 1, "marks": [mark, row], "turns": {"k": 0.2}} for row in rows)):
+        rows = [mark | {"until": float("nan")}, mark | {"spell": None}, mark | {"started": 10**400}, {}, 3]
+        for bad in (
+            [],
+            {},
+            {"version": 2, "marks": [], "turns": {}},
+            {"version": 1, "marks": 3, "turns": {}},
+            *({"version": 1, "marks": [mark, row], "turns": {"k": 0.2}} for row in rows),
+        ):
             it = new()
             with self.subTest(bad), self.assertRaises(ValueError):
                 carry.take_over(it, 100.0, bad)
             self.assertEqual((it.marks.marked, it.measures.turn), (set(), {}))
         many = {"version": 1, "turns": {}, "marks": [mark | {"server": "s"}] * carry.MOST + [mark]}
-        self.assertEqual(carry.take_over(new(), 100.0, many), 0)   # what is beyond the bound is not read
+        self.assertEqual(carry.take_over(new(), 100.0, many), 0)  # what is beyond the bound is not read
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -8,10 +8,21 @@
 from foxspread.model import FEWER, Act, Category, Customer, Effect, ListedServer, Mark, Outcome
 from tests.helpers import acts, balancer, mark_down, pull, sent_to, servers, take
 
-OTHER = dict(sidecars=8, categories=[Category("d", 0.4, 0.9, 2.0, 0.1), Category("c", 0.5, 2.0, 3.0, 0.2)],
-             customers=[Customer("x", 0.2, 5.0)], surplus_benefit=0.7, max_hand_offs=2, copies=True,
-             calling_off=False, longest_back_in=2.0, tick=0.01, keys_remembered=True, waste_price=0.4,
-             cold=(0.3, 40.0, 3.5), streams=10)
+OTHER = dict(
+    sidecars=8,
+    categories=[Category("d", 0.4, 0.9, 2.0, 0.1), Category("c", 0.5, 2.0, 3.0, 0.2)],
+    customers=[Customer("x", 0.2, 5.0)],
+    surplus_benefit=0.7,
+    max_hand_offs=2,
+    copies=True,
+    calling_off=False,
+    longest_back_in=2.0,
+    tick=0.01,
+    keys_remembered=True,
+    waste_price=0.4,
+    cold=(0.3, 40.0, 3.5),
+    streams=10,
+)
 PLAIN = (bool, int, float, str, Category, Customer)
 
 
@@ -33,9 +44,23 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    usual = dict(seed=7, zone="a", sidecars=1, categories=[Category("c", 1.0, 3.0, 1.0, 0.5)], customers=[],
-                 surplus_benefit=0.2, max_hand_offs=4, copies=False, calling_off=True, longest_back_in=0.0,
-                 tick=0.005, asks=False, keys_remembered=False, waste_price=0.1, cold=(0.1, 20.0, 2.5))
+    usual = dict(
+        seed=7,
+        zone="a",
+        sidecars=1,
+        categories=[Category("c", 1.0, 3.0, 1.0, 0.5)],
+        customers=[],
+        surplus_benefit=0.2,
+        max_hand_offs=4,
+        copies=False,
+        calling_off=True,
+        longest_back_in=0.0,
+        tick=0.005,
+        asks=False,
+        keys_remembered=False,
+        waste_price=0.1,
+        cold=(0.1, 20.0, 2.5),
+    )
     return usual | changes
 
 
@@ -51,22 +76,32 @@
             new, it = Balancer(100.0, **second), Balancer(100.0, **first)
             self.assertNotEqual(dict(leaves(it)), dict(leaves(new)))
             change.change(it, 100.0, second)
-            new.longest = it.longest = 0.0   # a shorter one waits for lookups that are under way
+            new.longest = it.longest = 0.0  # a shorter one waits for lookups that are under way
             # A customer's time began with the sidecar, a portion's with the first that was asked for.
             self.assertEqual(dict(leaves(it)), dict(leaves(new)))
 
     def test_marks_measures_budgets_and_what_is_out_go_on(self):
-        it = balancer([*servers(["w1", "w2"]), *servers(["cold"], started=99.0)],
-                      customers=[Customer("x", 0.2)])
+        it = balancer(
+            [*servers(["w1", "w2"]), *servers(["cold"], started=99.0)], customers=[Customer("x", 0.2)]
+        )
         for step in range(30):
             take(it, 100.0 + step / 10, f"x{step}", customer="x")
-            it.hand_off_ended(100.05 + step / 10, f"x{step}", 0, Outcome.ERROR if step < 12 else Outcome.DONE,
-                              True)
+            it.hand_off_ended(
+                100.05 + step / 10, f"x{step}", 0, Outcome.ERROR if step < 12 else Outcome.DONE, True
+            )
         take(it, 104.0, "out")
 
         def held() -> list[Any]:
-            return [dict(it.marks.of), dict(it.servers.tokens), dict(it.measures.done), it.customers["x"][1],
-                    dict(it.out), it.measures.times["c"][0].total, it.marks.verdicts.count, it.worth.total]
+            return [
+                dict(it.marks.of),
+                dict(it.servers.tokens),
+                dict(it.measures.done),
+                it.customers["x"][1],
+                dict(it.out),
+                it.measures.times["c"][0].total,
+                it.marks.verdicts.count,
+                it.worth.total,
+            ]
 
         kept = held()
         changed(it, 104.0, max_hand_offs=2, customers=[Customer("x", 0.4), Customer("y", 0.1)])
@@ -77,13 +112,21 @@
 
     def test_a_lookup_under_way_is_repeated_only_as_both_allow(self):
         zone = [ListedServer("s1", "a", 1), ListedServer("s2", "a", 2), ListedServer("s3", "a", 1)]
-        cases = (("free", "free", 1), ("free", "single_shot", 0), ("single_shot", "free", 0),
-                 ("zone", "cell", 1), ("cell", "zone", 1), ("all", "none", 1))
+        cases = (
+            ("free", "free", 1),
+            ("free", "single_shot", 0),
+            ("single_shot", "free", 0),
+            ("zone", "cell", 1),
+            ("cell", "zone", 1),
+            ("all", "none", 1),
+        )
         effects = {"free": Effect.REDOABLE, "single_shot": Effect.IRREVERSIBLE}
         for old, new, again in cases:
             with self.subTest(old=old, new=new):
-                one, other = (Category("c", 1.0, 3.0, 1.0, 0.5, effects.get(each, Effect.LABELLED), each, 5.0)
-                              for each in (old, new))
+                one, other = (
+                    Category("c", 1.0, 3.0, 1.0, 0.5, effects.get(each, Effect.LABELLED), each, 5.0)
+                    for each in (old, new)
+                )
                 it = balancer(zone, categories=[one])
                 first = sent_to(take(it, 100.0, "x"))[0]
                 changed(it, 100.0, categories=[other])
@@ -92,12 +135,13 @@
                 self.assertEqual(len(sent_to(found)), again if first != "s2" or old == "free" else 0)
                 if again and first != "s2" and old != "free":
                     self.assertEqual({first, sent_to(found)[0]}, {"s1", "s3"})
-                it = balancer(zone, categories=[other])   # there and back: stricter all the same
+                it = balancer(zone, categories=[other])  # there and back: stricter all the same
                 take(it, 100.0, "x")
                 changed(it, 100.0, categories=[one])
                 changed(it, 100.0, categories=[other])
-                self.assertEqual(it.lookups["x"].category.effect,
-                                 max(one.effect, other.effect, key=FEWER.index))
+                self.assertEqual(
+                    it.lookups["x"].category.effect, max(one.effect, other.effect, key=FEWER.index)
+                )
 
     def test_a_category_that_is_gone_is_handed_off_no_more_and_what_is_out_is_heard(self):
         it = balancer()
@@ -105,7 +149,7 @@
         self.assertTrue(it.gate.holds(100.0, it.lookups["unsent"], 0))
         found = changed(it, 100.01, categories=[Category("d", 1.0, 3.0)])
         self.assertEqual(found, [])
-        self.assertFalse(it.gate.holds(100.01, it.lookups["unsent"], 0))   # on its way to its first byte
+        self.assertFalse(it.gate.holds(100.01, it.lookups["unsent"], 0))  # on its way to its first byte
         it.hand_off_ended(100.02, "unsent", 0, Outcome.UNSENT, False)
         self.assertEqual(acts(pull(it, 100.02)), [Act.DISMISS])
         it.hand_off_ended(100.1, "out", 0, Outcome.DONE, True)
@@ -121,7 +165,7 @@
         self.assertFalse(it.gate.holds(100.0, it.lookups["out"], 0))
         self.assertEqual(acts(take(it, 100.01, "later")), [Act.DISMISS])
         it.hand_off_ended(100.1, "out", 0, Outcome.ERROR, False)
-        self.assertEqual(acts(pull(it, 100.1)), [Act.DISMISS])   # it may run again, so its client may ask
+        self.assertEqual(acts(pull(it, 100.1)), [Act.DISMISS])  # it may run again, so its client may ask
         changed(it, 100.2)
         self.assertEqual(acts(take(it, 100.2, "again")), [Act.HAND_OFF])
 
@@ -151,11 +195,11 @@
         take(it, 100.0, "x")
         out = sent_to_of(it, "x")
         change.lists(it, 100.0, frozenset([out]), None)
-        self.assertFalse(it.gate.holds(100.0, it.lookups["x"], 0))   # on its way to its first byte
+        self.assertFalse(it.gate.holds(100.0, it.lookups["x"], 0))  # on its way to its first byte
         self.assertNotIn(out, it.servers.ready)
         it.by_hand(100.1, out, True)
         change.lists(it, 100.2, frozenset(), None)
-        self.assertNotIn(out, it.servers.ready)   # still out by hand here
+        self.assertNotIn(out, it.servers.ready)  # still out by hand here
         it.by_hand(100.3, out, False)
         self.assertTrue(out in it.servers.ready and out in it.servers.cold and out in it.servers.awaited)
         change.lists(it, 100.4, frozenset(), frozenset(["s1", "s2"]))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -32,22 +32,31 @@
 
     def test_the_faulty_key_is_named(self):
         for key, change in (
-                ("listen", {"listen": "127.0.0.1"}), ("discovery", {"discovery": "x:99999"}),
-                ("name", {"name": None}), ("limits.sockets", {"limits": {"sockets": "many"}}),
-                ("limits.memory_mb", {"limits": {"memory_mb": -1}}), ("known.servers", {"known": 3}),
-                ("settings.categories[0].name", {"settings": {"categories": [{}]}}),
-                ("settings.tariffs.waste", {"settings": {"tariffs": {"waste": True}}}),
-                ("settings.limits.multiplex", {"settings": {"limits": {"multiplex": 0}}}),
-                ("settings.siblings", {"settings": {"siblings": 2.5}}),
-                ("settings.position", {"settings": {"position": 4, "limits": {"multiplex": 9}}})):
+            ("listen", {"listen": "127.0.0.1"}),
+            ("discovery", {"discovery": "x:99999"}),
+            ("name", {"name": None}),
+            ("limits.sockets", {"limits": {"sockets": "many"}}),
+            ("limits.memory_mb", {"limits": {"memory_mb": -1}}),
+            ("known.servers", {"known": 3}),
+            ("settings.categories[0].name", {"settings": {"categories": [{}]}}),
+            ("settings.tariffs.waste", {"settings": {"tariffs": {"waste": True}}}),
+            ("settings.limits.multiplex", {"settings": {"limits": {"multiplex": 0}}}),
+            ("settings.siblings", {"settings": {"siblings": 2.5}}),
+            ("settings.position", {"settings": {"position": 4, "limits": {"multiplex": 9}}}),
+        ):
             with self.subTest(key), self.assertRaisesRegex(ConfigError, f"'{key}'".replace("[", r"\[")):
                 configured(self.path, **change)
 
     def test_a_process_with_a_faulty_key_ends_and_names_it(self):
         configured(self.path)
         self.path.write_text(self.path.read_text().replace('"discovery"', '"discover"'))
-        done = subprocess.run([sys.executable, "-m", "foxspread"], env={"EDGE_CONFIG": str(self.path)},
-                              capture_output=True, text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "foxspread"],
+            env={"EDGE_CONFIG": str(self.path)},
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         self.assertEqual(done.returncode, 2)
         self.assertIn("'discovery' is missing", done.stderr)
 
@@ -61,8 +70,13 @@
             config.read({"EDGE_CONFIG": str(self.path)})
 
     def test_a_bad_entry_of_a_list_is_left_out_and_unknown_fields_are_skipped(self):
-        rows = [entry("10.0.0.1:80", colour="red"), {"id": "s2"}, "s3", entry("nowhere", id="s4"),
-                entry("10.0.0.5:80", id="s5", state="resting")]
+        rows = [
+            entry("10.0.0.1:80", colour="red"),
+            {"id": "s2"},
+            "s3",
+            entry("nowhere", id="s4"),
+            entry("10.0.0.5:80", id="s5", state="resting"),
+        ]
         part = config.list_part(told(known=rows)["known"], "known")
         self.assertEqual([each.listed.server for each in part.servers], ["s1", "s5"])
         self.assertIs(part.servers[1].listed.readiness, Readiness.DRAINING)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -10,9 +10,23 @@
 
 def facade(*names, effect=Effect.LABELLED, hand_offs=3, **changes):
     category = Category("c", 0.5, 1.5, 1.0, 0.0, effect, "cell", 7.5)
-    settings = dict(seed=1, zone="a", sidecars=1, categories=[category], customers=[], surplus_benefit=0.2,
-                    max_hand_offs=hand_offs, copies=True, calling_off=True, longest_back_in=0.0, tick=0.005,
-                    asks=False, keys_remembered=False, waste_price=0.1, cold=(0.1, 20.0, 2.5))
+    settings = dict(
+        seed=1,
+        zone="a",
+        sidecars=1,
+        categories=[category],
+        customers=[],
+        surplus_benefit=0.2,
+        max_hand_offs=hand_offs,
+        copies=True,
+        calling_off=True,
+        longest_back_in=0.0,
+        tick=0.005,
+        asks=False,
+        keys_remembered=False,
+        waste_price=0.1,
+        cold=(0.1, 20.0, 2.5),
+    )
     it = Facade(100.0, settings | changes)
     it.listed(100.0, [ListedServer(name, zone="a") for name in names], True)
     return it
@@ -77,10 +91,10 @@
         it = facade("s1")
         [send] = it.pick(100.0, "l1", "c", 1.0)
         self.assertTrue(it.holds(100.1, "l1", 0))
-        self.assertFalse(it.holds(101.0, "l1", 0))            # its client gives up
+        self.assertFalse(it.holds(101.0, "l1", 0))  # its client gives up
         self.assertFalse(it.holds(100.1, "other", 0))
         it.listed(100.2, [ListedServer(send.server, zone="a", readiness=DRAINS)], False)
-        self.assertFalse(it.holds(100.2, "l1", 0))            # its server drains
+        self.assertFalse(it.holds(100.2, "l1", 0))  # its server drains
 
     def test_a_send_of_a_lookup_that_is_over_does_not_hold(self):
         it = facade("s1")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -22,34 +22,42 @@
         self.assertEqual([m.body for m in read(LOOKUP + LOOKUP).ready], [b"abc", b"abc"])
 
     def test_chunks_are_joined_and_trailers_are_no_headers(self):
-        [message] = read(b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n"
-                         b"X-Txn: forged\r\n\r\n").ready
+        [message] = read(
+            b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n"
+            b"X-Txn: forged\r\n\r\n"
+        ).ready
         self.assertEqual((bytes(message.body), message.header(b"x-txn")), (b"abc", None))
 
     def test_what_is_malformed_ambiguous_or_too_large_is_refused(self):
         post = b"POST /a HTTP/1.1\r\n"
         for status, *pieces in (
-                (400, b"nonsense\r\n\r\n"), (400, b"GET /a\x00b HTTP/1.1\r\n\r\n"),
-                (400, post + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"),
-                (400, post + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n"),
-                (400, post + b"Content-Length: 1x\r\n\r\n"), (400, post + b"X y: 1\r\n\r\n"),
-                (400, post + b"Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n"),
-                (400, post + b"Content-Length: 0\r\nTransfer_Encoding: chunked\r\n\r\n"),
-                (400, post + b"Content-Length: 0\r\nTransfer-Encoding : chunked\r\n\r\n"),
-                (400, post + b"Content-Length: 0\r\nTransfer-Encoding: x\r\n\r\n"),
-                (400, post + b"Content_Length: 1\r\nContent-Length: 1\r\n\r\n"),
-                (400, post + b"Transfer-Encoding: identity\r\n\r\n"),
-                (400, post + b"Content-Length: 99999999999999999999\r\n\r\n"),
-                (413, post + b"Transfer-Encoding: chunked\r\n\r\n1;", *[b"x" * 9000] * 40),
-                (413, post + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ", *[b"x" * 9000] * 40),
-                (431, *[b"\r\n" * 3000] * 3),
-                (400, b"GET /a HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"),
-                (413, post + b"Content-Length: 33554433\r\n\r\n"),
-                (413, post + b"Transfer-Encoding: chunked\r\n\r\n",
-                 *[b"400000\r\n" + b"x" * 0x400000 + b"\r\n"] * 9),
-                (431, b"GET /" + b"a" * http.HEAD_MOST + b" HTTP/1.1\r\n"),
-                (431, b"GET /a HTTP/1.1\r\n" + b"A: b\r\n" * 4000),
-                (431, b"GET /a HTTP/1.1\r\nX: ", *[b"x" * 1000] * 20)):
+            (400, b"nonsense\r\n\r\n"),
+            (400, b"GET /a\x00b HTTP/1.1\r\n\r\n"),
+            (400, post + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            (400, post + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n"),
+            (400, post + b"Content-Length: 1x\r\n\r\n"),
+            (400, post + b"X y: 1\r\n\r\n"),
+            (400, post + b"Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n"),
+            (400, post + b"Content-Length: 0\r\nTransfer_Encoding: chunked\r\n\r\n"),
+            (400, post + b"Content-Length: 0\r\nTransfer-Encoding : chunked\r\n\r\n"),
+            (400, post + b"Content-Length: 0\r\nTransfer-Encoding: x\r\n\r\n"),
+            (400, post + b"Content_Length: 1\r\nContent-Length: 1\r\n\r\n"),
+            (400, post + b"Transfer-Encoding: identity\r\n\r\n"),
+            (400, post + b"Content-Length: 99999999999999999999\r\n\r\n"),
+            (413, post + b"Transfer-Encoding: chunked\r\n\r\n1;", *[b"x" * 9000] * 40),
+            (413, post + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ", *[b"x" * 9000] * 40),
+            (431, *[b"\r\n" * 3000] * 3),
+            (400, b"GET /a HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n"),
+            (413, post + b"Content-Length: 33554433\r\n\r\n"),
+            (
+                413,
+                post + b"Transfer-Encoding: chunked\r\n\r\n",
+                *[b"400000\r\n" + b"x" * 0x400000 + b"\r\n"] * 9,
+            ),
+            (431, b"GET /" + b"a" * http.HEAD_MOST + b" HTTP/1.1\r\n"),
+            (431, b"GET /a HTTP/1.1\r\n" + b"A: b\r\n" * 4000),
+            (431, b"GET /a HTTP/1.1\r\nX: ", *[b"x" * 1000] * 20),
+        ):
             with self.subTest(pieces[0][:60]), self.assertRaises(http.BadMessage) as caught:
                 read(*pieces)
             self.assertEqual(caught.exception.status, status)
@@ -70,8 +78,9 @@
         self.assertFalse(read(b"HTTP/1.1 200 OK\r\n\r\nhi", kind=http.AnswerReader).ready)
 
     def test_a_wait_for_leave_is_seen(self):
-        self.assertTrue(read(b"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-                        .wants_continue)
+        self.assertTrue(
+            read(b"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n").wants_continue
+        )
 
     def test_the_time_left_has_a_unit(self):
         self.assertEqual((http.remaining("480m"), http.remaining("1500u")), (0.48, 0.0015))
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -12,7 +12,7 @@
     def test_a_silent_server_gets_nothing_more_and_full_is_no_answer(self):
         it = balancer()
         server = sent_to(take(it, 100.0, "x"))[0]
-        for step in range(1, 40):   # the others answer
+        for step in range(1, 40):  # the others answer
             id = f"y{step}"
             if server not in sent_to(take(it, 100 + step / 10, id)):
                 it.hand_off_ended(100.05 + step / 10, id, 0, Outcome.DONE, True)
@@ -35,8 +35,10 @@
         self.assertEqual(it.marks.of[hand_off].streak, 1)
 
     def test_a_lookup_with_less_time_left_than_it_needs_is_dismissed_unsent(self):
-        self.assertEqual([acts(take(balancer(), 100.0, "r", left=left)) for left in (0.2, 0.4)],
-                         [[Act.DISMISS], [Act.HAND_OFF]])
+        self.assertEqual(
+            [acts(take(balancer(), 100.0, "r", left=left)) for left in (0.2, 0.4)],
+            [[Act.DISMISS], [Act.HAND_OFF]],
+        )
 
     def test_nothing_is_kept_of_a_server_that_is_gone_once_its_lookups_are(self):
         for whole in (True, False):
@@ -99,13 +101,17 @@
     def test_a_client_s_further_try_is_as_old_as_its_first(self):
         """Guards against work for what can't be in time any more: it takes the place of what can."""
         late_is_worth_nothing = [Category("c", 0.3, 3.0)]
-        for left, again, act in ((2.95, True, Act.HAND_OFF), (2.71, True, Act.DISMISS),
-                                 (2.71, False, Act.HAND_OFF), (3.2, True, Act.HAND_OFF)):
+        for left, again, act in (
+            (2.95, True, Act.HAND_OFF),
+            (2.71, True, Act.DISMISS),
+            (2.71, False, Act.HAND_OFF),
+            (3.2, True, Act.HAND_OFF),
+        ):
             it = balancer(categories=late_is_worth_nothing)
             take(it, 100.0, "x1", "x2")
             found = take(it, 100.4, "y", left=left, again=again)
             self.assertIn((act, "y"), [(each.act, each.lookup) for each in found], (left, again))
-        it = balancer(categories=late_is_worth_nothing)   # a new sidecar, which has seen no first try yet
+        it = balancer(categories=late_is_worth_nothing)  # a new sidecar, which has seen no first try yet
         self.assertEqual(acts(take(it, 100.0, "y", left=2.0, again=True)), [Act.HAND_OFF])
 
     def test_subscribes_anew_after_a_failed_call(self):
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -38,7 +38,7 @@
             found = portion(fleet, position)
             count.update(found)
             self.assertEqual(len(found), 4)
-            lost = min(found)   # what is marked is made up for, and the rest stays
+            lost = min(found)  # what is marked is made up for, and the rest stays
             self.assertEqual(len(portion(fleet, position, unsound={lost}) & found), 3)
             self.assertGreaterEqual(len(portion(less, position) & found), 2)
             busy = portion(fleet, position, rate=20.0)
@@ -46,7 +46,7 @@
         self.assertTrue(len(count) == 60 and max(count.values()) <= 26 and min(count.values()) >= 14, count)
 
     def test_lookups_stay_in_the_portion_and_leave_it_for_what_stands_in_for_the_marked(self):
-        for streams, least, most in ((100, 4, 5), (1, 25, 30)):   # 1: no portion
+        for streams, least, most in ((100, 4, 5), (1, 25, 30)):  # 1: no portion
             it, met = balancer(FLEET[:30], sidecars=300, streams=streams, position=3), set()
             for n in range(90):
                 met |= set(sent_to(take(it, 100.0 + n, f"x{n}")))
@@ -82,13 +82,13 @@
                 failed = step % 9 < failing and (step // 9 % 5 > 0 or failing == 9)
                 it.record(100.0 + step / 20, (names[step % 9], "c"), failed, trial=False)
             self.assertEqual(it.marked, {(name, "c") for name in names[:failing]})
-            self.assertEqual(it.in_panic_for(names, 9), {"c"} if failing > 5 else set())   # the floor holds
+            self.assertEqual(it.in_panic_for(names, 9), {"c"} if failing > 5 else set())  # the floor holds
         for marked, failing, met in ((["s1", "s2"], [], 4), (NAMES, [], 40), ([], ["s1", "s2"], 10)):
             it, sent = balancer(categories=TWO), []
             it.marks.of |= {(name, "c"): Mark() for name in NAMES}
             mark_down(it.marks, *((name, "c") for name in marked), until=1e9)
             for step in range(40):
-                for name in failing:   # every second time, too seldom for a mark
+                for name in failing:  # every second time, too seldom for a mark
                     it.marks.of[name, "c"].verdicts.add(100.0 + step / 4, step % 2)
                 it.lookup_taken(100.0 + step / 4, f"x{step}", "c", 3.0)
                 sent += sent_to(pull(it, 100.0 + step / 4))
@@ -98,21 +98,21 @@
     def test_a_lost_answer_fails_at_once_holds_no_room_and_is_told_at_the_expected_time(self):
         it = balancer(servers(["s1"]), streams=100, copies=True, effect=Effect.IRREVERSIBLE)
         take(it, 100.0, "x")
-        for step in range(1, 5):   # the same server goes on answering
+        for step in range(1, 5):  # the same server goes on answering
             take(it, 100.0 + step / 10, f"y{step}")
             it.hand_off_ended(100.05 + step / 10, f"y{step}", 0, Outcome.DONE, True)
         for now, flying, streak, told in ((100.45, 1, 0, []), (100.95, 0, 1, []), (101.0, 0, 1, [Act.SCRAP])):
-            self.assertEqual(acts(pull(it, now))[:1], told)   # its client would wait until 103.0
+            self.assertEqual(acts(pull(it, now))[:1], told)  # its client would wait until 103.0
             self.assertEqual((it.flying, it.marks.of["s1"].streak), (flying, streak))
         take(it, 103.0, "late")
         times, seen = it.measures.times["c"][0], it.measures.times["c"][0].sums(104.5)
-        it.hand_off_ended(104.5, "x", 0, Outcome.TIMED_OUT, True)   # overtaken: it says nothing of times
-        it.hand_off_ended(104.5, "late", 0, Outcome.DONE, True)   # an answer that earns little is no success
+        it.hand_off_ended(104.5, "x", 0, Outcome.TIMED_OUT, True)  # overtaken: it says nothing of times
+        it.hand_off_ended(104.5, "late", 0, Outcome.DONE, True)  # an answer that earns little is no success
         self.assertEqual((it.marks.of["s1"].streak, times.sums(104.5)[0] - seen[0]), (2, 1.0))
 
     def test_a_portion_lets_in_one_a_server_while_answers_are_quick_and_a_steep_share_else(self):
         for took, room in ((0.2, 8), (0.5, 0)):
-            it = Measures(100.0, TWO, fair_time=0.9)   # what answers may take; it starts from 0.8
+            it = Measures(100.0, TWO, fair_time=0.9)  # what answers may take; it starts from 0.8
             it.slow[""].add(100.0, 30 * took * 0.9 / 0.35, 30.0)
             few, some = (it.room_in_all(100.0, 1.0, 0.1, 0.3, used) for used in (0, 8))
             self.assertTrue(few > 3 and some == room, (few, some))
@@ -124,7 +124,7 @@
             it.hand_off_ended(100.01, "x", number, Outcome.FULL, False)
             decisions += pull(it, 100.01)
         self.assertEqual(acts(decisions), [Act.HAND_OFF] * 3 + [Act.DISMISS])
-        self.assertTrue(decisions[-1].back_in > 0 and min(it.measures.turn.values()) < 1.0)   # it has learnt
+        self.assertTrue(decisions[-1].back_in > 0 and min(it.measures.turn.values()) < 1.0)  # it has learnt
 
     def test_the_server_that_nobody_wants_is_not_taken_for_the_least_laden(self):
         it, part, held = Rotation("a", Chance(1)), {"s1": 0.05, "s2": 0.6}, {"s1": 0, "s2": 1}
@@ -137,7 +137,7 @@
             for seed in range(60):
                 it = balancer([*servers(), *servers(["t"], started=100.0)], seed=seed, streams=9).servers
                 it.served["a", ""].add(107.0, 40.0)
-                it.tokens["t"], it.turn[""] = (1.0, 107.0), pace   # saved up
+                it.tokens["t"], it.turn[""] = (1.0, 107.0), pace  # saved up
                 it.use(108.0, {"s1", "t"}, {"t"}, size)
                 sent += 60 * it.has_budget(108.0, "t") + it.has_budget(108.25, "t")
             self.assertTrue(least <= sent <= most, sent)
