--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -41,11 +41,15 @@
     async def test_each_answer_has_its_outcome(self):
         away = b" Nope\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
         for reply, outcome in (
-                (OK, Outcome.DONE), (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-                (b"HTTP/1.1 503" + away, Outcome.FULL), (b"HTTP/1.1 504" + away, Outcome.FULL),
-                (b"HTTP/1.1 500" + away, Outcome.ERROR),
-                (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR), (b"noise", Outcome.ERROR),
-                (b"", Outcome.RESET)):
+            (OK, Outcome.DONE),
+            (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+            (b"HTTP/1.1 503" + away, Outcome.FULL),
+            (b"HTTP/1.1 504" + away, Outcome.FULL),
+            (b"HTTP/1.1 500" + away, Outcome.ERROR),
+            (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
+            (b"noise", Outcome.ERROR),
+            (b"", Outcome.RESET),
+        ):
             async with StandIn(reply) as server:
                 ending = await hand_off(new_pool(), server.address).run()
                 self.assertIs(ending.outcome, outcome, reply)
@@ -62,9 +66,14 @@
     @on_loop
     async def test_a_spoilt_answer_is_an_error_long_before_the_time_is_up(self):
         head = b"HTTP/1.1 200 OK\r\n"
-        for reply in (OK[:-1], head, head + b"Content-Length: 3000000000\r\n\r\nx",
-                      head + b"Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
-                      head + b"X: y\r\n" * 9000, b"\r\n" * 20_000):
+        for reply in (
+            OK[:-1],
+            head,
+            head + b"Content-Length: 3000000000\r\n\r\nx",
+            head + b"Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
+            head + b"X: y\r\n" * 9000,
+            b"\r\n" * 20_000,
+        ):
             async with StandIn(reply) as server:
                 it = hand_off(new_pool(), server.address, wait=30.0)
                 with mock.patch("foxspread.net.hand_off.REST_OF_ANSWER", 0.02):
@@ -84,7 +93,7 @@
     @on_loop
     async def test_a_connection_that_never_comes_up_is_unconnected(self):
         with socket.create_server(("127.0.0.1", 0), backlog=0) as full, socket.socket() as first:
-            first.connect(full.getsockname())   # fills the queue: what comes next hears nothing
+            first.connect(full.getsockname())  # fills the queue: what comes next hears nothing
             it = hand_off(new_pool(connect_time=0.05), pool.Address(*full.getsockname()))
             self.assertIs((await it.run()).outcome, Outcome.UNCONNECTED)
 
@@ -172,7 +181,7 @@
             for call in (lambda it: it.reuse(place(server.address)), lambda it: it.sweep()):
                 it = new_pool()
                 [connection] = await self.kept(it, server, 1)
-                connection.idle_since -= 8.0   # of the ten that the server may keep it
+                connection.idle_since -= 8.0  # of the ten that the server may keep it
                 self.assertIsNone(call(it))
                 self.assertEqual(it.descriptors.used, 0)
 
@@ -215,7 +224,7 @@
         writing = asyncio.ensure_future(pool.write(loop, ours, parts))
         got, buffer, whole = bytearray(), bytearray(65536), b"".join(parts)
         while len(got) < len(whole):
-            got += buffer[:await loop.sock_recv_into(theirs, buffer)]
+            got += buffer[: await loop.sock_recv_into(theirs, buffer)]
         await writing
         self.assertEqual(got, whole)
         ours.close()
@@ -387,7 +396,7 @@
         it.sweep()
         for (reader, _), answer in zip(held, (b"", b" 408 ", b"", b" 408 ")):
             self.assertIn(answer, await reader.read())
-        [client] = [each for each in it.clients if not each.shut]   # idle, and not yet for long
+        [client] = [each for each in it.clients if not each.shut]  # idle, and not yet for long
         client.since -= 10.0
         it.sweep()
         self.assertEqual(await held[4][0].read(), b"")
@@ -427,7 +436,7 @@
     async def test_what_waits_to_be_accepted_is_taken_before_the_end(self):
         it = self.listener()
         it.pause()
-        it.accepting = True   # its reader has not run yet
+        it.accepting = True  # its reader has not run yet
         client = socket.create_connection((it.address.host, it.address.port))
         client.send(LOOKUP)
         it.loop.remove_reader(it.sock)
@@ -442,8 +451,10 @@
     HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     def chunks(self, data, size):
-        return b"".join(b"%x\r\n%b\r\n" % (len(data[at:at + size]), data[at:at + size])
-                        for at in range(0, len(data), size))
+        return b"".join(
+            b"%x\r\n%b\r\n" % (len(data[at : at + size]), data[at : at + size])
+            for at in range(0, len(data), size)
+        )
 
     def watch(self, address, silence=5.0):
         parts, failed = asyncio.Queue(), asyncio.Event()
@@ -477,8 +488,12 @@
     @on_loop
     async def test_refusals_and_ends_are_failures_and_it_can_start_again(self):
         bad = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-        for reply, version in ((bad, 41), (b"", 41), (self.HEAD + b"0\r\n\r\n", 41),
-                               (self.HEAD + self.chunks(b"{nonsense\n", 99), None)):
+        for reply, version in (
+            (bad, 41),
+            (b"", 41),
+            (self.HEAD + b"0\r\n\r\n", 41),
+            (self.HEAD + self.chunks(b"{nonsense\n", 99), None),
+        ):
             async with StandIn(reply) as server:
                 it, parts, failed = self.watch(server.address)
                 await failed.wait()
@@ -562,7 +577,7 @@
                 old = self.sidecar(gone, server, learnt=path)
                 held = asyncio.ensure_future(ask(old.listener.address))
                 await server.asked.wait()
-                helpers.mark_down(old.facade.balancer.marks, "s0", until=old.clock() + 4)   # met first or not
+                helpers.mark_down(old.facade.balancer.marks, "s0", until=old.clock() + 4)  # met first or not
                 old.stop.set()
                 server.go.set()
                 self.assertIn(b" 200 ", await held)
@@ -576,7 +591,7 @@
                     self.sidecar(learnt=path)
                     await asyncio.sleep(0)
                 told = [call for call in logger.warning.call_args_list if "'learnt'" in call.args[0]]
-                self.assertEqual(len(told), 1)   # and none of a machine that stood still
+                self.assertEqual(len(told), 1)  # and none of a machine that stood still
 
     @on_loop
     async def test_what_is_left_out_of_a_list_is_logged(self):
@@ -620,9 +635,14 @@
     @on_loop
     async def test_what_is_no_lookup_is_refused(self):
         it = self.sidecar()
-        for status, change in ((404, (b"/pay?user=u1", b"/-/other")), (404, (b"Lane: pay", b"Lane: toll")),
-                               (405, (b"POST", b"PUT")), (400, (b"X-Txn: t1\r\n", b"")),
-                               (400, (b"900m", b"soon")), (400, (b"900m", b""))):
+        for status, change in (
+            (404, (b"/pay?user=u1", b"/-/other")),
+            (404, (b"Lane: pay", b"Lane: toll")),
+            (405, (b"POST", b"PUT")),
+            (400, (b"X-Txn: t1\r\n", b"")),
+            (400, (b"900m", b"soon")),
+            (400, (b"900m", b"")),
+        ):
             self.assertIn(b" %d " % status, await ask(it.listener.address, LOOKUP.replace(*change)))
 
     @on_loop
@@ -646,7 +666,7 @@
         async with StandIn(OK) as server:
             it = self.sidecar(server)
             with mock.patch("foxspread.net.sidecar.HandOff", side_effect=KeyError("x")):
-                self.assertIn(b" 503 ", await ask(it.listener.address))   # unsent: it never ran
+                self.assertIn(b" 503 ", await ask(it.listener.address))  # unsent: it never ran
 
     @on_loop
     async def test_a_lookup_without_decision_is_answered_before_its_client_gives_up(self):
@@ -674,7 +694,7 @@
             asking = asyncio.ensure_future(ask(it.listener.address))
             await server.asked.wait()
             now = it.clock()
-            it.clock.last = now   # from here on the process stands still until its lookup is overdue
+            it.clock.last = now  # from here on the process stands still until its lookup is overdue
             it.clock.monotonic = lambda: now + 0.7 - it.clock.offset
             self.assertTrue(it.clock.behind())
             it._decide(it.facade.tick)
@@ -737,7 +757,7 @@
             server.go.set()
             self.assertIn(b" 200 ", await read_answer(reader))
             again = LOOKUP.replace(b"t1", b"t2")
-            self.assertIn(b" 200 ", await ask(it.listener.address, again))   # new connections still come
+            self.assertIn(b" 200 ", await ask(it.listener.address, again))  # new connections still come
             await it.running
             self.assertEqual(await reader.read(), b"")
             with self.assertRaises(ConnectionError):
@@ -761,7 +781,7 @@
         for _ in range(50):
             sink("x" * 65_000)
         self.assertGreater(sink.lost, 40)
-        os.close(end)   # a reader that is gone ends nothing either
+        os.close(end)  # a reader that is gone ends nothing either
         sink.close(5.0)
         self.assertFalse(sink.thread.is_alive())
         os.close(start)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -20,8 +20,12 @@
                 path = pathlib.Path(folder, "config.json")
                 path.write_text(json.dumps(told(known=[entry(server.address)])))
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "foxspread", env=os.environ | {"EDGE_CONFIG": str(path)},
-                    stderr=asyncio.subprocess.PIPE)
+                    sys.executable,
+                    "-m",
+                    "foxspread",
+                    env=os.environ | {"EDGE_CONFIG": str(path)},
+                    stderr=asyncio.subprocess.PIPE,
+                )
                 line = await self.line(process, "start name=n0")
                 listen = address(re.search(r"listen=(\S+)", line)[1], "listen")
             self.assertIn(b" 200 ", await ask(listen, b"GET /-/ready HTTP/1.1\r\n\r\n"))
@@ -44,8 +48,12 @@
                 path = pathlib.Path(folder, "config.json")
                 path.write_text(json.dumps(told(discovery=old.address)))
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "foxspread", stderr=asyncio.subprocess.PIPE,
-                    env=os.environ | {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": str(old.address)})
+                    sys.executable,
+                    "-m",
+                    "foxspread",
+                    stderr=asyncio.subprocess.PIPE,
+                    env=os.environ | {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": str(old.address)},
+                )
                 await old.asked.wait()
                 path.write_text(json.dumps(told(discovery="nowhere")))
                 process.send_signal(signal.SIGHUP)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -20,8 +20,13 @@
         self.assertEqual((done.returncode, done.stdout), (0, '{"groups":[]}\n'))
 
     def test_malformed_lines_are_told_plainly(self):
-        for line in ("nonsense", "[]", '{"groups":[]}', '{"time_us":1,"groups":[{"sidecar_id":0}]}',
-                     '{"time_us":1,"groups":[{"sidecar_id":0,"events":[{"event_type":"RING","name":"x"}]}]}'):
+        for line in (
+            "nonsense",
+            "[]",
+            '{"groups":[]}',
+            '{"time_us":1,"groups":[{"sidecar_id":0}]}',
+            '{"time_us":1,"groups":[{"sidecar_id":0,"events":[{"event_type":"RING","name":"x"}]}]}',
+        ):
             done = run(line + "\n")
             self.assertNotEqual(done.returncode, 0)
             self.assertIn("line 1", done.stderr)
@@ -42,5 +47,7 @@
             self.assertIs(taken.call_args.args[-1], retry)
 
     def test_a_hand_off_is_encoded(self):
-        self.assertEqual(codec.action(Decision(Act.HAND_OFF, "id", "s", 0.08)),
-                         {"event_type": "TRY", "op_id": "id", "server": "s", "max_wait_us": 80000})
+        self.assertEqual(
+            codec.action(Decision(Act.HAND_OFF, "id", "s", 0.08)),
+            {"event_type": "TRY", "op_id": "id", "server": "s", "max_wait_us": 80000},
+        )
