--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 PYTHON = .venv/bin/python
 CONFIG = deploy/example.json
 
-.PHONY: build test lint run
+.PHONY: build test lint check format run
 build: .venv/dev
 
 .venv/dev: requirements.txt pyproject.toml
@@ -13,8 +13,17 @@
 test: build
 	$(PYTHON) -m unittest discover -s tests -t .
 
+# What CI runs.
+check: lint test
+
 lint: build
-	.venv/bin/ruff check foxspread tests
+	.venv/bin/ruff format --check foxspread tests bench .ci
+	.venv/bin/ruff check foxspread tests .ci
+
+# Mends layout, and what the linter can mend by itself.
+format: build
+	.venv/bin/ruff format foxspread tests bench .ci
+	.venv/bin/ruff check --fix foxspread tests .ci
 
 run: build
 	EDGE_CONFIG=$(CONFIG) exec $(PYTHON) -m foxspread
