--- /dev/null
+++ b/tests/orchard/replication/make_stored_data.py
@@ -0,0 +1,334 @@
+"""Made tests/data/stored/voter-{1,2,3} and voters-expected.json, once, with the code of commit d26c70f.
+No test runs this: the data stays as that commit wrote it, whatever the code becomes. To see how it was made,
+run it in an export of d26c70f that this file and test_stored_data.py are copied into:
+
+    PYTHONPATH=EXPORT python -m tests.orchard.replication.make_stored_data FOLDER
+
+Three voters settle routes, services and limits, drop and refuse some, and write a lease. One is wiped and
+enrols again. Then all start anew, the members change, and what follows stays in the write-ahead log (WAL):
+the files are copied while they are open.
+"""
+
+import json
+import pathlib
+import queue
+import shutil
+import struct
+import sys
+import tempfile
+from collections import deque
+from typing import Any
+
+import orjson
+
+from foxspread.orchard.configuration.items import KEPT, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
+from foxspread.orchard.replication.acceptor import Acceptor, Saved
+from foxspread.orchard.replication.disk import Disk
+from foxspread.orchard.replication.members import changed
+from foxspread.orchard.replication.replica import Replica
+from tests.orchard.replication.test_stored_data import (
+    SEEDS,
+    VOTERS,
+    WAL,
+    as_json,
+    change_byte,
+    damaged,
+    is_new_disk,
+    read_voter,
+)
+
+WAL_HEADER, FRAME_HEADER = 32, 24
+STEP_S = 0.05
+DAMAGES = (
+    "log lost",
+    "database header overwritten, log lost",
+    "database cut to half, log lost",
+    "one byte of a stored route changed, log lost",
+)
+
+
+class Voter:
+    """A replica on a real disk; messages go to the network, time is the network's."""
+
+    def __init__(self, network: "Network", name: str, first: bool) -> None:
+        self.network, self.name = network, name
+        self.folder = network.root / name
+        self.calls: queue.SimpleQueue = queue.SimpleQueue()
+        self.disk = Disk(str(self.folder), self.calls.put)
+        saved = self.disk.open(SEEDS, first)
+        self.durable: list[
+            tuple[int, Saved]
+        ] = []  # after each transaction: size of the log, and what is there
+        self.write = self.disk._written
+        self.disk._written = self.written
+        self.disk.start()
+        network.starts += 1
+        self.replica = Replica(
+            lambda: network.now,
+            f"{name}{network.starts}",
+            lambda: 0.5,
+            self.disk.put,
+            lambda to, message: network.flying.append((name, to, orjson.dumps(message))),
+            lambda call, *told: network.soon.append((call, told)),
+            lambda items: None,
+        )
+        self.replica.begin(Acceptor(name, saved))
+
+    def written(self, writes: list) -> bool:
+        done = self.write(writes)
+        if done:
+            self.durable.append(((self.folder / WAL).stat().st_size, self.disk._read()))
+        return done
+
+    def close(self) -> None:
+        self.disk.db.close()
+
+
+class Network:
+    def __init__(self, root: pathlib.Path) -> None:
+        self.root, self.now, self.starts = root, 100.0, 0
+        self.flying: deque = deque()
+        self.soon: deque = deque()
+        self.voters: dict[str, Voter] = {}
+        self.cut = lambda message: False  # messages that are lost
+
+    def run(self) -> None:
+        """Until nothing is under way: on a disk, on the network or in a loop."""
+        while self.flying or self.soon or any(each.disk.pending for each in self.voters.values()):
+            for voter in self.voters.values():
+                while voter.disk.pending:
+                    voter.calls.get(timeout=10)()
+            while self.soon:
+                call, told = self.soon.popleft()
+                call(*told)
+            if self.flying:
+                sender, to, body = self.flying.popleft()
+                message = orjson.loads(body)
+                if to in self.voters and not self.cut(message):
+                    self.voters[to].replica.heard(sender, message)
+
+    def wait(self, seconds: float) -> None:
+        for _ in range(round(seconds / STEP_S)):
+            self.now += STEP_S
+            for voter in self.voters.values():
+                voter.replica.tick()
+            self.run()
+
+    def settle(self, proposer: str, *items: Item) -> Any:
+        """The outcome of a call; the others are told that it is settled."""
+        told: list = []
+        replica = self.voters[proposer].replica
+        replica.ask(list(items), told.append)
+        self.run()
+        for voter in self.voters.values():
+            voter.replica.peer_settled(replica.acceptor.copy.upto)
+        self.run()
+        return told[0]
+
+
+def service(name: str, version: int = 1, size: int = 2) -> Item:
+    return Item(SERVICE, name, version, {"name": name, "instances": size})
+
+
+def route(name: str, to: str, version: int = 1) -> Item:
+    rule = {
+        "name": name,
+        "target_s": 0.25 * version,
+        "edition": f"r{version}",
+        "sorting": {"postcode": f"/{name}/"},
+        "dispatch": {"service": to, "deadline_s": 2.0, "delivery_attempts": 3},
+    }
+    return Item(ROUTE, name, version, {"destination": f"{name}.example", "rule": rule})
+
+
+def must(outcome: object) -> None:
+    assert outcome is True, outcome
+
+
+def first_run(network: Network) -> None:
+    """All that is in the database files by the time that the log begins."""
+    for name in SEEDS:
+        network.voters[name] = Voter(network, name, True)
+    network.wait(1.0)
+    must(network.settle("a", *(service(f"s{number}") for number in range(1, 6))))
+    must(network.settle("b", *(route(f"r{number}", f"s{number}") for number in range(1, 5))))
+    must(network.settle("c", Item(LIMITS, LIMITS, 1, {"requests": 400, "share": 0.125, "name": "größte"})))
+    must(network.settle("a", route("r1", "s2", 2), service("s1", 2, 7)))
+    must(network.settle("a", Item(ROUTE, "r4", 2, None)))
+    must(network.settle("b", Item(LEASE, MEMBERS, 1, {"name": "a", "life": "a1"})))
+    refused = network.settle("b", route("r9", "s-unknown"))
+    assert refused is not True, refused
+    network.voters.pop("c").close()
+    shutil.rmtree(network.root / "c")
+    network.voters["c"] = Voter(network, "c", False)
+    network.wait(2.0)
+    assert network.voters["c"].replica.acceptor.serves
+    for name in SEEDS:
+        network.voters[name].close()
+
+
+def second_run(network: Network) -> None:
+    """All that stays in the log."""
+    for name in SEEDS:
+        network.voters[name] = Voter(network, name, False)
+    members = network.voters["a"].replica.acceptor.members
+    disks = network.voters["a"].replica.acceptor.disks_known
+    lease = Item(LEASE, MEMBERS, 2, {"name": "b", "life": "b5"})
+    must(network.settle("b", lease, changed(members, [*members.of, "d"], disks)))
+    # r4, dropped before this ballot, is forgotten; s5, dropped with it, stays known as dropped.
+    horizon = list(network.voters["c"].replica.acceptor.copy.upto)
+    forget = Item(KEPT, "dropped", 1, {"floor": 2, "at": horizon})
+    must(network.settle("c", route("r2", "s3", 2), Item(SERVICE, "s5", 2, None), forget))
+    # A value that all have accepted and nobody knows to be settled.
+    network.cut = lambda message: message["t"] == "accepted"
+    network.voters["a"].replica.ask([service("s6", 3)], lambda told: None)
+    network.run()
+
+
+def transactions(log: bytes) -> tuple[int, list[int]]:
+    """The size of a frame, and the places at which transactions end."""
+    frame = FRAME_HEADER + struct.unpack(">I", log[8:12])[0]
+    ends = []
+    for at in range(WAL_HEADER, len(log) - frame + 1, frame):
+        if log[at + 8 : at + 16] != log[16:24]:
+            break  # of an earlier run of the log
+        if struct.unpack(">I", log[at + 4 : at + 8])[0]:
+            ends.append(at + frame)
+    return frame, ends
+
+
+def cuts(log: bytes) -> list[tuple[str, int]]:
+    frame, ends = transactions(log)
+    middle, later = ends[len(ends) // 2], ends[3 * len(ends) // 4]
+    return [
+        ("nothing is left", 0),
+        ("inside the log's header", WAL_HEADER // 2),
+        ("after the log's header", WAL_HEADER),
+        ("inside the first frame's header", WAL_HEADER + 12),
+        ("inside the first page", WAL_HEADER + FRAME_HEADER + 1000),
+        ("one byte before the first transaction's end", ends[0] - 1),
+        ("at the first transaction's end", ends[0]),
+        ("one byte before a transaction's end", middle - 1),
+        ("at a transaction's end", middle),
+        ("one byte after a transaction's end", middle + 1),
+        ("inside a frame's header", middle + FRAME_HEADER // 2),
+        ("at a frame header's end", middle + FRAME_HEADER),
+        ("inside a page", middle + FRAME_HEADER + 2048),
+        ("at a frame's end", middle + frame),
+        ("inside the next frame's header", middle + frame + 8),
+        ("inside a later page", later - frame // 2),
+        ("at a later transaction's end", later),
+        ("one byte before the last transaction's end", ends[-1] - 1),
+        ("nothing is missing", len(log)),
+    ]
+
+
+def changed_bytes(log: bytes) -> list[tuple[str, int]]:
+    frame, ends = transactions(log)
+    middle = ends[len(ends) // 2]
+    return [
+        ("in the log's header", 17),
+        ("in the first page", WAL_HEADER + FRAME_HEADER + 100),
+        ("in a frame's header", middle + 2),
+        ("in a frame's checksum", middle + 18),
+        ("in a page", middle + FRAME_HEADER + 3000),
+        ("in the last transaction's page", ends[-1] - 500),
+    ]
+
+
+class Expected:
+    """Reads copies of a folder and numbers what it finds by the transactions that were durable."""
+
+    def __init__(self, folder: pathlib.Path, read: Any, is_new: Any) -> None:
+        self.folder, self.read, self.is_new = folder, read, is_new
+        self.log_name = next(each.name for each in folder.iterdir() if each.name.endswith("-wal"))
+        self.log = (folder / self.log_name).read_bytes()
+        self.ends = transactions(self.log)[1]
+        self.states: dict[str, Any] = {}
+        self.in_order = [self.outcome(lambda copy: self.cut(copy, end)) for end in (0, *self.ends)]
+
+    def cut(self, copy: pathlib.Path, at: int) -> None:
+        (copy / self.log_name).write_bytes(self.log[:at])
+
+    def outcome(self, harm: Any) -> Any:
+        with tempfile.TemporaryDirectory() as scratch:
+            copy = pathlib.Path(shutil.copytree(self.folder, pathlib.Path(scratch) / "copy"))
+            harm(copy)
+            return self.read(copy)
+
+    def state(self, harm: Any, most: int) -> str:
+        """`most`: transactions before the harm. Where nothing changed between two, the later counts."""
+        found = self.outcome(harm)
+        if self.is_new(found):
+            return "new disk"
+        number = max(number for number in range(most + 1) if self.in_order[number] == found)
+        self.states[str(number)] = found
+        return str(number)
+
+    def table(self, places: list[tuple[str, int]], harm: Any) -> list[dict[str, Any]]:
+        rows = []
+        for where, at in places:
+            before = sum(end <= at for end in self.ends)
+            state = self.state(lambda copy: harm(copy, at), before)
+            assert state in ("new disk", str(before)), (where, at, before, state)
+            rows.append({"where": where, "at": at, "state": state})
+        return rows
+
+
+def check_durable(found: Expected, voter: Voter) -> None:
+    """What was read while the voter ran is what a log cut off there reads as, after one start more."""
+    for size, saved in voter.durable:
+        saved.boots += 1
+        assert found.in_order[found.ends.index(size) + 1] == as_json(saved, voter.name), (voter.name, size)
+
+
+def expectation(folder: pathlib.Path, voter: Voter) -> dict[str, Any]:
+    found = Expected(folder, lambda copy: read_voter(copy, voter.name), is_new_disk)
+    check_durable(found, voter)
+    print(voter.name, "transactions", len(found.ends), "checked while running", len(voter.durable))
+    return {
+        "whole": found.outcome(lambda copy: None),
+        "cuts": found.table(cuts(found.log), found.cut),
+        "changed_bytes": found.table(changed_bytes(found.log), lambda copy, at: change_byte(copy / WAL, at)),
+        "damages": [
+            {"kind": kind, "state": found.state(lambda copy: damaged(copy, kind), 0)} for kind in DAMAGES
+        ],
+        "states": found.states,
+    }
+
+
+def lines(expected: dict[str, Any]) -> str:
+    """JSON with a line for each state and each row of a table."""
+
+    def line(value: Any) -> str:
+        return json.dumps(value, ensure_ascii=False)
+
+    def block(value: Any) -> str:
+        if isinstance(value, list):
+            return "[\n" + ",\n".join(map(line, value)) + "\n]"
+        return "{\n" + ",\n".join(f"{line(key)}: {line(each)}" for key, each in value.items()) + "\n}"
+
+    voters = [
+        f"{line(voter)}: {{\n"
+        + ",\n".join(f"{line(key)}: {block(each)}" for key, each in told.items())
+        + "\n}"
+        for voter, told in expected.items()
+    ]
+    return "{\n" + ",\n".join(voters) + "\n}\n"
+
+
+def main(target: pathlib.Path) -> None:
+    with tempfile.TemporaryDirectory() as scratch:
+        network = Network(pathlib.Path(scratch))
+        first_run(network)
+        second_run(network)
+        expected = {}
+        for voter, name in VOTERS.items():
+            shutil.rmtree(target / voter, ignore_errors=True)
+            shutil.copytree(network.root / name, target / voter)
+            expected[voter] = expectation(target / voter, network.voters[name])
+        (target / "voters-expected.json").write_text(lines(expected), encoding="utf-8")
+
+
+if __name__ == "__main__":
+    main(pathlib.Path(sys.argv[1]))
--- /dev/null
+++ b/tests/orchard/replication/test_stored_data.py
@@ -0,0 +1,142 @@
+"""Disks of three voters that commit d26c70f wrote: later code reads every row of them, whole or with a
+write-ahead log (WAL) that is cut off or damaged. make_stored_data.py wrote them and voters-expected.json.
+"""
+
+import json
+import pathlib
+import shutil
+import tempfile
+from typing import Any
+
+from testtools import TestCase
+
+from foxspread.orchard.replication.acceptor import Acceptor, Saved
+from foxspread.orchard.replication.disk import Disk
+
+STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
+VOTERS = {"voter-1": "a", "voter-2": "b", "voter-3": "c"}
+SEEDS = ("a", "b", "c")
+DATABASE = "rootstock.sqlite"
+WAL = DATABASE + "-wal"
+
+
+def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
+    """All that a voter finds on its disk. This and `as_json` are all here that names the code under test."""
+    disk = Disk(str(folder), lambda call: None)
+    saved = disk.open(SEEDS, False)
+    disk.db.close()
+    return as_json(saved, name)
+
+
+def as_json(saved: Saved, name: str) -> dict[str, Any]:
+    """By names that stay, whatever the code calls them."""
+    acceptor = Acceptor(name, saved)
+    found = {
+        "identity": saved.disk,
+        "starts": saved.boots,
+        "seeds": saved.members,
+        "promised": saved.promised,
+        "settled": saved.settled,
+        "accepted": saved.accepted,
+        "accepted_items": saved.delta,
+        "rows": sorted(saved.rows, key=lambda row: row[:2]),
+        "identities_noted": saved.disks,
+        "voting": saved.voting,
+        "members_known": saved.known,
+        "epoch": acceptor.epoch,
+        "members": acceptor.members.of,
+    }
+    return json.loads(json.dumps(found))
+
+
+def is_new_disk(found: dict[str, Any]) -> bool:
+    """Whether the voter counts its disk as wiped: another identity, and no vote before it has enrolled."""
+    return (
+        found["identity"][0] == 1
+        and found["starts"] == 1
+        and not (found["voting"] or found["members_known"])
+        and found["promised"] == found["settled"] == found["accepted"] == [0, ""]
+        and not (found["rows"] or found["accepted_items"] or found["identities_noted"])
+    )
+
+
+class StoredData(TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.expected = json.loads((STORED / "voters-expected.json").read_text())
+        self.scratch = pathlib.Path(tempfile.mkdtemp())
+        self.addCleanup(shutil.rmtree, self.scratch)
+
+    def copy_of(self, voter: str) -> pathlib.Path:
+        shutil.rmtree(self.scratch)
+        return pathlib.Path(shutil.copytree(STORED / voter, self.scratch))
+
+    def assert_reads(self, voter: str, state: str, why: str) -> None:
+        """`state`: how many transactions of the log are read, or "new disk"."""
+        found = read_voter(self.scratch, VOTERS[voter])
+        if state == "new disk":
+            self.assertTrue(is_new_disk(found), why)
+            known = self.expected[voter]["whole"]["identity"]
+            self.assertNotEqual(known, found["identity"], why)
+        else:
+            self.assertEqual(self.expected[voter]["states"][state], found, why)
+
+    def test_every_row_is_read_back(self) -> None:
+        for voter, name in VOTERS.items():
+            with self.subTest(voter):
+                found = read_voter(self.copy_of(voter), name)
+                self.assertEqual(self.expected[voter]["whole"], found)
+
+    def test_the_next_start_reads_the_same_and_counts_one_more(self) -> None:
+        for voter, name in VOTERS.items():
+            with self.subTest(voter):
+                folder = self.copy_of(voter)
+                first, second = read_voter(folder, name), read_voter(folder, name)
+                self.assertEqual({**first, "starts": first["starts"] + 1}, second)
+
+    def test_a_log_cut_off_anywhere_reads_as_the_last_whole_transaction_before(self) -> None:
+        for voter in VOTERS:
+            for cut in self.expected[voter]["cuts"]:
+                with self.subTest(voter=voter, **cut):
+                    log = self.copy_of(voter) / WAL
+                    log.write_bytes(log.read_bytes()[: cut["at"]])
+                    self.assert_reads(voter, cut["state"], f"{voter} {cut}")
+
+    def test_a_log_with_one_byte_changed_reads_as_the_last_sound_transaction_before(self) -> None:
+        for voter in VOTERS:
+            for change in self.expected[voter]["changed_bytes"]:
+                with self.subTest(voter=voter, **change):
+                    change_byte(self.copy_of(voter) / WAL, change["at"])
+                    self.assert_reads(voter, change["state"], f"{voter} {change}")
+
+    def test_a_database_without_its_log_or_damaged_is_read_as_before(self) -> None:
+        for voter in VOTERS:
+            for damage in self.expected[voter]["damages"]:
+                with self.subTest(voter=voter, **damage):
+                    folder = self.copy_of(voter)
+                    damaged(folder, damage["kind"])
+                    self.assert_reads(voter, damage["state"], f"{voter} {damage}")
+
+
+def change_byte(path: pathlib.Path, at: int) -> None:
+    data = bytearray(path.read_bytes())
+    data[at] ^= 0xFF
+    path.write_bytes(data)
+
+
+def damaged(folder: pathlib.Path, kind: str) -> None:
+    """Harm to the database file itself, by the kinds that voters-expected.json names."""
+    database, log = folder / DATABASE, folder / WAL
+    if kind == "log lost":
+        log.unlink()
+    elif kind == "database header overwritten, log lost":
+        log.unlink()
+        database.write_bytes(b"\xff" * 100 + database.read_bytes()[100:])
+    elif kind == "database cut to half, log lost":
+        log.unlink()
+        database.write_bytes(database.read_bytes()[: database.stat().st_size // 2])
+    elif kind == "one byte of a stored route changed, log lost":
+        log.unlink()
+        change_byte(database, database.read_bytes().index(b"r1.example"))
+    else:
+        raise ValueError(kind)
