--- a/tests/orchard/replication/make_stored_data.py
+++ b/tests/orchard/replication/make_stored_data.py
@@ -1,6 +1,7 @@
 """Made tests/data/stored/voter-{1,2,3} and voters-expected.json, once, with the code of commit d26c70f.
 No test runs this: the data stays as that commit wrote it, whatever the code becomes. To see how it was made,
-run it in an export of d26c70f that this file and test_stored_data.py are copied into:
+run it in an export of d26c70f that this file, test_stored_data.py, tests/write_ahead_log.py and
+tests/stored_outcomes.py are copied into:
 
     PYTHONPATH=EXPORT python -m tests.orchard.replication.make_stored_data FOLDER
 
@@ -9,11 +10,9 @@
 the files are copied while they are open.
 """
 
-import json
 import pathlib
 import queue
 import shutil
-import struct
 import sys
 import tempfile
 from collections import deque
@@ -27,17 +26,17 @@
 from foxspread.orchard.replication.members import changed
 from foxspread.orchard.replication.replica import Replica
 from tests.orchard.replication.test_stored_data import (
+    NEW_DISK,
     SEEDS,
     VOTERS,
     WAL,
     as_json,
-    change_byte,
     damaged,
     is_new_disk,
     read_voter,
 )
+from tests.stored_outcomes import Outcomes, lines
 
-WAL_HEADER, FRAME_HEADER = 32, 24
 STEP_S = 0.05
 DAMAGES = (
     "log lost",
@@ -185,111 +184,26 @@
     network.run()
 
 
-def transactions(log: bytes) -> tuple[int, list[int]]:
-    """The size of a frame, and the places at which transactions end."""
-    frame = FRAME_HEADER + struct.unpack(">I", log[8:12])[0]
-    ends = []
-    for at in range(WAL_HEADER, len(log) - frame + 1, frame):
-        if log[at + 8 : at + 16] != log[16:24]:
-            break  # of an earlier run of the log
-        if struct.unpack(">I", log[at + 4 : at + 8])[0]:
-            ends.append(at + frame)
-    return frame, ends
-
-
-def cuts(log: bytes) -> list[tuple[str, int]]:
-    frame, ends = transactions(log)
-    middle, later = ends[len(ends) // 2], ends[3 * len(ends) // 4]
-    return [
-        ("nothing is left", 0),
-        ("inside the log's header", WAL_HEADER // 2),
-        ("after the log's header", WAL_HEADER),
-        ("inside the first frame's header", WAL_HEADER + 12),
-        ("inside the first page", WAL_HEADER + FRAME_HEADER + 1000),
-        ("one byte before the first transaction's end", ends[0] - 1),
-        ("at the first transaction's end", ends[0]),
-        ("one byte before a transaction's end", middle - 1),
-        ("at a transaction's end", middle),
-        ("one byte after a transaction's end", middle + 1),
-        ("inside a frame's header", middle + FRAME_HEADER // 2),
-        ("at a frame header's end", middle + FRAME_HEADER),
-        ("inside a page", middle + FRAME_HEADER + 2048),
-        ("at a frame's end", middle + frame),
-        ("inside the next frame's header", middle + frame + 8),
-        ("inside a later page", later - frame // 2),
-        ("at a later transaction's end", later),
-        ("one byte before the last transaction's end", ends[-1] - 1),
-        ("nothing is missing", len(log)),
-    ]
-
-
-def changed_bytes(log: bytes) -> list[tuple[str, int]]:
-    frame, ends = transactions(log)
-    middle = ends[len(ends) // 2]
-    return [
-        ("in the log's header", 17),
-        ("in the first page", WAL_HEADER + FRAME_HEADER + 100),
-        ("in a frame's header", middle + 2),
-        ("in a frame's checksum", middle + 18),
-        ("in a page", middle + FRAME_HEADER + 3000),
-        ("in the last transaction's page", ends[-1] - 500),
-    ]
-
-
-class Expected:
-    """Reads copies of a folder and numbers what it finds by the transactions that were durable."""
-
-    def __init__(self, folder: pathlib.Path, read: Any, is_new: Any) -> None:
-        self.folder, self.read, self.is_new = folder, read, is_new
-        self.log_name = next(each.name for each in folder.iterdir() if each.name.endswith("-wal"))
-        self.log = (folder / self.log_name).read_bytes()
-        self.ends = transactions(self.log)[1]
-        self.states: dict[str, Any] = {}
-        self.in_order = [self.outcome(lambda copy: self.cut(copy, end)) for end in (0, *self.ends)]
-
-    def cut(self, copy: pathlib.Path, at: int) -> None:
-        (copy / self.log_name).write_bytes(self.log[:at])
-
-    def outcome(self, harm: Any) -> Any:
-        with tempfile.TemporaryDirectory() as scratch:
-            copy = pathlib.Path(shutil.copytree(self.folder, pathlib.Path(scratch) / "copy"))
-            harm(copy)
-            return self.read(copy)
-
-    def state(self, harm: Any, most: int) -> str:
-        """`most`: transactions before the harm. Where nothing changed between two, the later counts."""
-        found = self.outcome(harm)
-        if self.is_new(found):
-            return "new disk"
-        number = max(number for number in range(most + 1) if self.in_order[number] == found)
-        self.states[str(number)] = found
-        return str(number)
-
-    def table(self, places: list[tuple[str, int]], harm: Any) -> list[dict[str, Any]]:
-        rows = []
-        for where, at in places:
-            before = sum(end <= at for end in self.ends)
-            state = self.state(lambda copy: harm(copy, at), before)
-            assert state in ("new disk", str(before)), (where, at, before, state)
-            rows.append({"where": where, "at": at, "state": state})
-        return rows
-
-
-def check_durable(found: Expected, voter: Voter) -> None:
+def outcome(folder: pathlib.Path, name: str) -> Any:
+    found = read_voter(folder, name)
+    return NEW_DISK if is_new_disk(found) else found
+
+
+def check_durable(found: Outcomes, voter: Voter) -> None:
     """What was read while the voter ran is what a log cut off there reads as, after one start more."""
     for size, saved in voter.durable:
         saved.boots += 1
-        assert found.in_order[found.ends.index(size) + 1] == as_json(saved, voter.name), (voter.name, size)
+        assert found.in_order[found.number_at(size)] == as_json(saved, voter.name), (voter.name, size)
 
 
 def expectation(folder: pathlib.Path, voter: Voter) -> dict[str, Any]:
-    found = Expected(folder, lambda copy: read_voter(copy, voter.name), is_new_disk)
+    found = Outcomes(folder, lambda copy: outcome(copy, voter.name))
     check_durable(found, voter)
     print(voter.name, "transactions", len(found.ends), "checked while running", len(voter.durable))
     return {
         "whole": found.outcome(lambda copy: None),
-        "cuts": found.table(cuts(found.log), found.cut),
-        "changed_bytes": found.table(changed_bytes(found.log), lambda copy, at: change_byte(copy / WAL, at)),
+        "cuts": found.cuts(),
+        "changed_bytes": found.changed_bytes(),
         "damages": [
             {"kind": kind, "state": found.state(lambda copy: damaged(copy, kind), 0)} for kind in DAMAGES
         ],
@@ -297,26 +211,6 @@
     }
 
 
-def lines(expected: dict[str, Any]) -> str:
-    """JSON with a line for each state and each row of a table."""
-
-    def line(value: Any) -> str:
-        return json.dumps(value, ensure_ascii=False)
-
-    def block(value: Any) -> str:
-        if isinstance(value, list):
-            return "[\n" + ",\n".join(map(line, value)) + "\n]"
-        return "{\n" + ",\n".join(f"{line(key)}: {line(each)}" for key, each in value.items()) + "\n}"
-
-    voters = [
-        f"{line(voter)}: {{\n"
-        + ",\n".join(f"{line(key)}: {block(each)}" for key, each in told.items())
-        + "\n}"
-        for voter, told in expected.items()
-    ]
-    return "{\n" + ",\n".join(voters) + "\n}\n"
-
-
 def main(target: pathlib.Path) -> None:
     with tempfile.TemporaryDirectory() as scratch:
         network = Network(pathlib.Path(scratch))
--- a/tests/orchard/replication/test_stored_data.py
+++ b/tests/orchard/replication/test_stored_data.py
@@ -12,12 +12,14 @@
 
 from foxspread.orchard.replication.acceptor import Acceptor, Saved
 from foxspread.orchard.replication.disk import Disk
+from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
 VOTERS = {"voter-1": "a", "voter-2": "b", "voter-3": "c"}
 SEEDS = ("a", "b", "c")
 DATABASE = "rootstock.sqlite"
 WAL = DATABASE + "-wal"
+NEW_DISK = "new disk"
 
 
 def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
@@ -72,9 +74,9 @@
         return pathlib.Path(shutil.copytree(STORED / voter, self.scratch))
 
     def assert_reads(self, voter: str, state: str, why: str) -> None:
-        """`state`: how many transactions of the log are read, or "new disk"."""
+        """`state`: how many transactions of the log are read, or `NEW_DISK`."""
         found = read_voter(self.scratch, VOTERS[voter])
-        if state == "new disk":
+        if state == NEW_DISK:
             self.assertTrue(is_new_disk(found), why)
             known = self.expected[voter]["whole"]["identity"]
             self.assertNotEqual(known, found["identity"], why)
@@ -118,12 +120,6 @@
                     self.assert_reads(voter, damage["state"], f"{voter} {damage}")
 
 
-def change_byte(path: pathlib.Path, at: int) -> None:
-    data = bytearray(path.read_bytes())
-    data[at] ^= 0xFF
-    path.write_bytes(data)
-
-
 def damaged(folder: pathlib.Path, kind: str) -> None:
     """Harm to the database file itself, by the kinds that voters-expected.json names."""
     database, log = folder / DATABASE, folder / WAL
