--- /dev/null
+++ b/tests/agreed/test_stored_rules_file.py
@@ -0,0 +1,62 @@
+"""The file of agreed rules that a sidecar of commit d26c70f kept for its next start: later code acts on it.
+tests/make_stored_learnt_file.py wrote it.
+"""
+
+import json
+import pathlib
+import shutil
+import tempfile
+import unittest
+from dataclasses import asdict
+from typing import Any
+
+from foxspread.agreed.party import Party
+from foxspread.operator.file import Agreed
+
+STORED = pathlib.Path(__file__).parents[1] / "data" / "stored" / "agreed-rules.json"
+BOOT_ID = pathlib.Path("/proc/sys/kernel/random/boot_id")
+OWN = {"zone": "a", "position": 0, "seed": 15}
+KEPT_AT = 1000.0  # by the machine's clock
+
+
+def started(file: pathlib.Path, now: float) -> tuple[dict[str, Any], dict[str, Any]]:
+    """A sidecar's part in agreed rules as it starts with that file: what it keeps for the next start, and the
+    mode and rules that it acts on."""
+    party = Party(Agreed((), str(file)), "n0", OWN, clock=lambda: now)
+    acting = party.holder.acting(now)
+    return asdict(party.holder.kept()), {"mode": acting.mode.value, "rules": acting.rules}
+
+
+class TestStoredRulesFile(unittest.TestCase):
+    maxDiff = None
+
+    def setUp(self) -> None:
+        folder = pathlib.Path(tempfile.mkdtemp())
+        self.addCleanup(shutil.rmtree, folder)
+        self.file = pathlib.Path(shutil.copy(STORED, folder))
+        self.kept = json.loads(STORED.read_text())
+
+    def of_this_boot(self) -> None:
+        self.kept["boot"] = BOOT_ID.read_text().strip()
+        self.file.write_text(json.dumps(self.kept))
+
+    def test_a_sidecar_that_restarts_keeps_what_it_found(self) -> None:
+        self.of_this_boot()
+        self.assertEqual(self.kept, json.loads(json.dumps(started(self.file, KEPT_AT)[0])))
+
+    def test_it_acts_on_the_rules_for_one_alone_until_their_time_is_over(self) -> None:
+        self.of_this_boot()
+        end = self.kept["alone_until"]
+        for now, mode, rules in (
+            (KEPT_AT, "alone", self.kept["alone"]),
+            (end - 0.001, "alone", self.kept["alone"]),
+            (end, "none", {}),
+        ):
+            with self.subTest(now=now):
+                acting = json.loads(json.dumps(started(self.file, now)[1]))
+                self.assertEqual({"mode": mode, "rules": rules}, acting)
+
+    def test_rules_of_an_earlier_boot_are_left_out(self) -> None:
+        kept, acting = started(self.file, KEPT_AT)
+        self.assertEqual(({}, 0), (kept["alone"], kept["settled"]))
+        self.assertEqual("none", acting["mode"])
