--- a/tests/orchard/replication/make_stored_data.py
+++ b/tests/orchard/replication/make_stored_data.py
@@ -33,6 +33,7 @@
     as_json,
     damaged,
     is_new_disk,
+    meaning,
     read_voter,
 )
 from tests.stored_outcomes import Outcomes, lines
@@ -202,6 +203,7 @@
     print(voter.name, "transactions", len(found.ends), "checked while running", len(voter.durable))
     return {
         "whole": found.outcome(lambda copy: None),
+        "meaning": Outcomes.read_copy(folder, lambda copy: meaning(copy, voter.name)),
         "cuts": found.cuts(),
         "changed_bytes": found.changed_bytes(),
         "damages": [
--- a/tests/orchard/replication/test_stored_data.py
+++ b/tests/orchard/replication/test_stored_data.py
@@ -10,6 +10,16 @@
 
 from testtools import TestCase
 
+from foxspread.orchard.configuration.items import (
+    LEASE,
+    MEMBERS,
+    NO_PAST,
+    REFUSED,
+    ROUTE,
+    laid_out,
+    place_of,
+    services_of,
+)
 from foxspread.orchard.replication.acceptor import Acceptor, Saved
 from foxspread.orchard.replication.disk import Disk
 from tests.write_ahead_log import change_byte
@@ -23,7 +33,7 @@
 
 
 def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
-    """All that a voter finds on its disk. This and `as_json` are all here that names the code under test."""
+    """All that a voter finds on its disk. This, `as_json` and `meaning` are all here that name the code."""
     disk = Disk(str(folder), lambda call: None)
     saved = disk.open(SEEDS, False)
     disk.db.close()
@@ -51,6 +61,29 @@
     return json.loads(json.dumps(found))
 
 
+def meaning(folder: pathlib.Path, name: str) -> dict[str, Any]:
+    """What a voter makes of its rows: kinds and keys of content are part of what is stored."""
+    disk = Disk(str(folder), lambda call: None)
+    acceptor = Acceptor(name, disk.open(SEEDS, False))
+    disk.db.close()
+    held = acceptor.copy.items
+    routes = [item for item in held.values() if item.kind == ROUTE and item.content is not None]
+    found = {
+        "configuration": laid_out(held.values()),
+        "places": {item.name: place_of(item.content) for item in routes},
+        "services": {item.name: services_of(item.content) for item in routes},
+        "dropped": sorted(item.key for item in held.values() if item.content is None),
+        "forgotten_up_to": [acceptor.copy.floor, acceptor.copy.horizon],
+        "lease": held[LEASE, MEMBERS].content,
+        "refusals": [item.content for item in held.values() if item.kind == REFUSED],
+        "agreed_clock": acceptor.copy.clock,
+        "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
+        "serves": acceptor.serves,
+        "unsettled": acceptor.unsettled,
+    }
+    return json.loads(json.dumps(found))
+
+
 def is_new_disk(found: dict[str, Any]) -> bool:
     """Whether the voter counts its disk as wiped: another identity, and no vote before it has enrolled."""
     return (
@@ -89,6 +122,11 @@
                 found = read_voter(self.copy_of(voter), name)
                 self.assertEqual(self.expected[voter]["whole"], found)
 
+    def test_rows_mean_what_they_meant(self) -> None:
+        for voter, name in VOTERS.items():
+            with self.subTest(voter):
+                self.assertEqual(self.expected[voter]["meaning"], meaning(self.copy_of(voter), name))
+
     def test_the_next_start_reads_the_same_and_counts_one_more(self) -> None:
         for voter, name in VOTERS.items():
             with self.subTest(voter):
