--- a/tests/orchard/replication/make_stored_data.py
+++ b/tests/orchard/replication/make_stored_data.py
@@ -35,6 +35,8 @@
     is_new_disk,
     meaning,
     read_voter,
+    route,
+    service,
 )
 from tests.stored_outcomes import Outcomes, lines
 
@@ -126,21 +128,6 @@
         return told[0]
 
 
-def service(name: str, version: int = 1, size: int = 2) -> Item:
-    return Item(SERVICE, name, version, {"name": name, "instances": size})
-
-
-def route(name: str, to: str, version: int = 1) -> Item:
-    rule = {
-        "name": name,
-        "target_s": 0.25 * version,
-        "edition": f"r{version}",
-        "sorting": {"postcode": f"/{name}/"},
-        "dispatch": {"service": to, "deadline_s": 2.0, "delivery_attempts": 3},
-    }
-    return Item(ROUTE, name, version, {"destination": f"{name}.example", "rule": rule})
-
-
 def must(outcome: object) -> None:
     assert outcome is True, outcome
 
@@ -155,8 +142,8 @@
     must(network.settle("c", Item(LIMITS, LIMITS, 1, {"requests": 400, "share": 0.125, "name": "größte"})))
     must(network.settle("a", route("r1", "s2", 2), service("s1", 2, 7)))
     must(network.settle("a", Item(ROUTE, "r4", 2, None)))
-    must(network.settle("b", Item(LEASE, MEMBERS, 1, {"name": "a", "life": "a1"})))
-    refused = network.settle("b", route("r9", "s-unknown"))
+    must(network.settle("b", Item(LEASE, MEMBERS, 1, {"holder": "a", "life": "a1"})))
+    refused = network.settle("b", route("r9", "s-unknown"))  # again in test_stored_data.py
     assert refused is not True, refused
     network.voters.pop("c").close()
     shutil.rmtree(network.root / "c")
@@ -173,7 +160,7 @@
         network.voters[name] = Voter(network, name, False)
     members = network.voters["a"].replica.acceptor.members
     disks = network.voters["a"].replica.acceptor.disks_known
-    lease = Item(LEASE, MEMBERS, 2, {"name": "b", "life": "b5"})
+    lease = Item(LEASE, MEMBERS, 2, {"holder": "b", "life": "b5"})
     must(network.settle("b", lease, changed(members, [*members.of, "d"], disks)))
     # r4, dropped before this ballot, is forgotten; s5, dropped with it, stays known as dropped.
     horizon = list(network.voters["c"].replica.acceptor.copy.upto)
--- a/tests/orchard/replication/test_stored_data.py
+++ b/tests/orchard/replication/test_stored_data.py
@@ -6,6 +6,7 @@
 import pathlib
 import shutil
 import tempfile
+from collections.abc import Mapping
 from typing import Any
 
 from testtools import TestCase
@@ -16,10 +17,13 @@
     NO_PAST,
     REFUSED,
     ROUTE,
+    SERVICE,
+    Item,
     laid_out,
     place_of,
     services_of,
 )
+from foxspread.orchard.configuration.orders import digest_of_order, judged
 from foxspread.orchard.replication.acceptor import Acceptor, Saved
 from foxspread.orchard.replication.disk import Disk
 from tests.write_ahead_log import change_byte
@@ -32,6 +36,34 @@
 NEW_DISK = "new disk"
 
 
+def service(name: str, version: int = 1, size: int = 2) -> Item:
+    return Item(SERVICE, name, version, {"name": name, "instances": size})
+
+
+def route(name: str, to: str, version: int = 1) -> Item:
+    rule = {
+        "name": name,
+        "target_s": 0.25 * version,
+        "edition": f"r{version}",
+        "sorting": {"postcode": f"/{name}/"},
+        "dispatch": {"service": to, "deadline_s": 2.0, "delivery_attempts": 3},
+    }
+    return Item(ROUTE, name, version, {"destination": f"{name}.example", "rule": rule})
+
+
+# Orders that come again, or late, and how they stand to what is stored.
+ORDERS = {
+    "refused before": [route("r9", "s-unknown")],
+    "holds": [route("r1", "s2", 2)],
+    "confirmed before": [route("r1", "s1", 1)],
+    "another content under a number confirmed before": [route("r1", "s4", 1)],
+    "another content under the number that holds": [route("r1", "s4", 2)],
+    "older than what is known": [Item(ROUTE, "r4", 2, None)],
+    "new": [service("s7", 3), route("r7", "s7", 3)],
+    "dropped service": [route("r8", "s5", 3)],
+}
+
+
 def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
     """All that a voter finds on its disk. This, `as_json` and `meaning` are all here that name the code."""
     disk = Disk(str(folder), lambda call: None)
@@ -78,12 +110,20 @@
         "refusals": [item.content for item in held.values() if item.kind == REFUSED],
         "agreed_clock": acceptor.copy.clock,
         "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
+        "answers": {name: answer(held, order) for name, order in ORDERS.items()},
         "serves": acceptor.serves,
         "unsettled": acceptor.unsettled,
     }
     return json.loads(json.dumps(found))
 
 
+def answer(held: Mapping[tuple[str, str], Item], order: list[Item]) -> Any:
+    """What is settled for an order, and what its operator is told."""
+    rows, outcome = judged(held, order, digest_of_order(order), 100.0)
+    told = True if outcome is True else [outcome.status, outcome.reason]
+    return [[item.packed() for item in rows.values()], told]
+
+
 def is_new_disk(found: dict[str, Any]) -> bool:
     """Whether the voter counts its disk as wiped: another identity, and no vote before it has enrolled."""
     return (
