--- a/bench/catching_up.py
+++ b/bench/catching_up.py
@@ -16,12 +16,12 @@
 import time
 import tracemalloc
 
-from foxspread.orchard.configuration.items import ROUTE, Item
-from foxspread.orchard.messaging.netstrings import Decoder, encode
-from foxspread.orchard.replication.acceptor import Acceptor, Saved
-from foxspread.orchard.replication.catchup import CatchUp
-from foxspread.orchard.replication.copy import Copy, row, unrow
-from foxspread.orchard.replication.disk import Disk
+from foxspread.mesh.configuration.items import ROUTE, Item
+from foxspread.mesh.transport.netstrings import Decoder, encode
+from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.snapshot_transfer import CatchUp
+from foxspread.mesh.replication.learner import Copy, row, unrow
+from foxspread.mesh.replication.storage import Disk
 
 CHANGES_A_SECOND = 3
 DELAY_S = 0.001
--- a/bench/eight_orders.py
+++ b/bench/eight_orders.py
@@ -8,10 +8,10 @@
 
 import click
 
-from foxspread.orchard.configuration.items import SERVICE, Item
-from foxspread.orchard.simulation import disks
-from foxspread.orchard.simulation.agreement import Fleet
-from foxspread.orchard.simulation.plan import Event, Plan
+from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.simulation import disks
+from foxspread.mesh.simulation.fleet import Fleet
+from foxspread.mesh.simulation.schedule import Event, Plan
 
 
 def orders(at: float, count: int, machines: int, same: bool) -> list[Event]:
--- a/bench/orchard_orders.py
+++ b/bench/orchard_orders.py
@@ -1,6 +1,6 @@
 """How long a large order of the operator holds up the loops of a mesh that runs on loopback.
 
-    python -m foxspread.orchard up --folder DIR --net 127.0.81 &
+    python -m foxspread.mesh up --folder DIR --net 127.0.81 &
     python bench/orchard_orders.py DIR 3000 10000
 
 Asks each keeper and one sidecar for a call that does not exist every 5 ms, and prints the longest that one
@@ -13,7 +13,7 @@
 import sys
 import time
 
-from foxspread.orchard.nursery.plot import CORE, SIDE, read
+from foxspread.mesh.local_cluster.layout import CORE, SIDE, read
 
 EVERY_S = 0.005
 TRIES = 5
--- a/foxspread/orchard/configuration/orders.py
+++ b/foxspread/mesh/configuration/idempotency.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import (
+from foxspread.mesh.configuration.items import (
     KEPT,
     LEASE,
     MEMBERS,
@@ -24,7 +24,7 @@
     Past,
     consistent,
 )
-from foxspread.orchard.outcome import Failure, conflict, unsettled
+from foxspread.mesh.errors import Failure, conflict, unsettled
 
 PAST_MOST = 32  # lower versions of an item that are told apart; below them nothing is confirmed nor refused
 REFUSED_MOST = 4096  # orders known to be refused; with more, a refusal has to wait
--- a/foxspread/orchard/configuration/items.py
+++ b/foxspread/mesh/configuration/items.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from foxspread.orchard.outcome import Failure, invalid
+from foxspread.mesh.errors import Failure, invalid
 
 Key = tuple[str, str]  # kind and name
 ROUTE, SERVICE, LIMITS = "route", "service", "limits"  # the operator's
--- a/foxspread/orchard/configuration/routes.py
+++ b/foxspread/mesh/configuration/routes.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from foxspread.orchard.configuration.items import ROUTE, Item, Key, place_of, services_of
+from foxspread.mesh.configuration.items import ROUTE, Item, Key, place_of, services_of
 
 
 @dataclass(frozen=True, slots=True)
--- a/foxspread/orchard/configuration/reading.py
+++ b/foxspread/mesh/configuration/validation.py
@@ -10,8 +10,8 @@
 import orjson
 from cerberus import Validator
 
-from foxspread.orchard.configuration.items import LIMITS, ROUTE, SERVICE, Item, place_of
-from foxspread.orchard.outcome import Failure, invalid
+from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item, place_of
+from foxspread.mesh.errors import Failure, invalid
 
 LONGEST_S = 600.0  # a deadline may be so long
 AIM_OVER_S = 60.0  # and a target may lie less than this over it
--- a/foxspread/orchard/control/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -3,11 +3,11 @@
 import asyncio
 from collections.abc import Callable
 
-from foxspread.orchard.control.desk import Elsewhere
-from foxspread.orchard.configuration.items import Item, laid_out
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Failure, unsettled
-from foxspread.orchard.replication.keeper import Keeper
+from foxspread.mesh.control_api.handlers import Elsewhere
+from foxspread.mesh.configuration.items import Item, laid_out
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Failure, unsettled
+from foxspread.mesh.replication.replica_server import Keeper
 
 STOOD_STILL = "this process stood still: the call may be an old copy"
 
@@ -29,7 +29,7 @@
             return self._on("Config.Patch")
         if self.stale():
             return unsettled(STOOD_STILL)
-        from foxspread.orchard.configuration.reading import (
+        from foxspread.mesh.configuration.validation import (
             read,
         )  # and with it cerberus: not for sidecars without a disk
 
--- a/foxspread/orchard/control/desk.py
+++ b/foxspread/mesh/control_api/handlers.py
@@ -8,9 +8,9 @@
 
 import orjson
 
-from foxspread.orchard.dataplane.serving import Desk, Exchange, Limits
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Failure
+from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Failure
 
 # Bytes of a call: 16,000 routes. What JSON of that size may become in memory, 27 times as much at the worst,
 # a process can bear.
--- a/foxspread/orchard/control/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -4,10 +4,10 @@
 
 import orjson
 
-from foxspread.orchard.registry.lives import DRAINING, READY, Lives
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.plain import COUNT, NEEDED_TEXT, TEXT, Want, faulty, number, place, whole
+from foxspread.mesh.registry.incarnations import DRAINING, READY, Lives
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.schema import COUNT, NEEDED_TEXT, TEXT, Want, faulty, number, place, whole
 
 BEAT = {
     "service": NEEDED_TEXT,
--- a/foxspread/orchard/dataplane/caller.py
+++ b/foxspread/mesh/dataplane/caller.py
@@ -7,14 +7,14 @@
 
 from foxspread.model import Outcome
 from foxspread.net import http
-from foxspread.orchard.dataplane import heads
-from foxspread.orchard.dataplane.errand import Errand, Pass, Refuse, Send, Steering, Step
-from foxspread.orchard.dataplane.hop import FRESH_S, Handing, Hop
-from foxspread.orchard.dataplane.lanes import CONNECT_S, End, Lane, Lanes
-from foxspread.orchard.dataplane.lasthop import Terms
-from foxspread.orchard.dataplane.serving import Desk, Exchange, Limits
-from foxspread.orchard.configuration.routes import RouteTable
-from foxspread.orchard.log import say
+from foxspread.mesh.dataplane import heads
+from foxspread.mesh.dataplane.errand import Errand, Pass, Refuse, Send, Steering, Step
+from foxspread.mesh.dataplane.hop import FRESH_S, Handing, Hop
+from foxspread.mesh.dataplane.lanes import CONNECT_S, End, Lane, Lanes
+from foxspread.mesh.dataplane.lasthop import Terms
+from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.log import say
 
 CALLER_LINES_MOST = 1000  # connections of clients
 REFUSED_BY_SERVER = ("refused", "silent", "gone")  # why nothing was handed over: the server's own doing
--- a/foxspread/orchard/dataplane/hop.py
+++ b/foxspread/mesh/dataplane/hop.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from foxspread.net import http
-from foxspread.orchard.dataplane import heads
-from foxspread.orchard.dataplane.lanes import End, Lane, Lanes
-from foxspread.orchard.dataplane.lasthop import LastHop, Terms
-from foxspread.orchard.dataplane.serving import Desk, Exchange, Limits
-from foxspread.orchard.outcome import Failure
+from foxspread.mesh.dataplane import heads
+from foxspread.mesh.dataplane.lanes import End, Lane, Lanes
+from foxspread.mesh.dataplane.lasthop import LastHop, Terms
+from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
+from foxspread.mesh.errors import Failure
 
 FRESH_S = 2.0  # idle for longer, a connection is not used for what must not be lost
 HOP_LINES_MOST = 1000  # connections of other sidecars
--- a/foxspread/orchard/dataplane/lanes.py
+++ b/foxspread/mesh/dataplane/lanes.py
@@ -13,9 +13,9 @@
 import httptools
 
 from foxspread.net import http
-from foxspread.orchard.dataplane import heads
-from foxspread.orchard.dataplane.memory import Share
-from foxspread.orchard.settings import Address
+from foxspread.mesh.dataplane import heads
+from foxspread.mesh.dataplane.memory import Share
+from foxspread.mesh.settings import Address
 
 CONNECT_S = 0.5
 STRAYS_MOST = 2  # surplus answers of a server passed over while the one that is due is waited for
--- a/foxspread/orchard/dataplane/lasthop.py
+++ b/foxspread/mesh/dataplane/lasthop.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from foxspread.orchard.budget.runs import Runs
-from foxspread.orchard.registry.lives import DRAINING, GONE, Lives
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.settings import Address, address
+from foxspread.mesh.budget.runs import Runs
+from foxspread.mesh.registry.incarnations import DRAINING, GONE, Lives
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.settings import Address, address
 from foxspread.sums import Mean
 
 DRAIN_PART = 0.6  # of `drain_s`, for which requests under way to a draining server are still let through
--- a/foxspread/orchard/stand_ins/client.py
+++ b/foxspread/mesh/emulators/client.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 
 from foxspread.net import http
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.settings import Address, shown
-from foxspread.orchard.stand_ins.asking import Reply, asked, written
-from foxspread.orchard.stand_ins.ledger import Ledger
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.settings import Address, shown
+from foxspread.mesh.emulators.http_call import Reply, asked, written
+from foxspread.mesh.emulators.event_record import Ledger
 
 PROMISES = (408, 421, 429, 503)  # it has not run and never will
 FINAL = (400, 401, 404, 413, 431)
--- a/foxspread/orchard/stand_ins/asking.py
+++ b/foxspread/mesh/emulators/http_call.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from foxspread.net import http
-from foxspread.orchard.dataplane.lanes import End, Lane, Lanes
-from foxspread.orchard.settings import Address
+from foxspread.mesh.dataplane.lanes import End, Lane, Lanes
+from foxspread.mesh.settings import Address
 
 CONNECT_S = 1.0  # for a new connection to come up
 
--- a/foxspread/orchard/stand_ins/operator.py
+++ b/foxspread/mesh/emulators/operator.py
@@ -7,10 +7,10 @@
 
 import orjson
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.settings import Address, address, shown
-from foxspread.orchard.stand_ins.asking import Reply, asked, written
-from foxspread.orchard.stand_ins.ledger import Ledger
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.settings import Address, address, shown
+from foxspread.mesh.emulators.http_call import Reply, asked, written
+from foxspread.mesh.emulators.event_record import Ledger
 
 PATIENCE_S = 1.0  # of silence, after which it goes on to the next address
 PAUSE_S, PAUSE_MOST_S = 0.05, 1.0  # between askings, doubling
--- a/foxspread/orchard/stand_ins/server.py
+++ b/foxspread/mesh/emulators/server.py
@@ -1,5 +1,5 @@
 """A stand-in of the application's server: so many berths, a few queued, refusals that promise, beats to the
-sidecar beside it. `python -m foxspread.orchard.stand_ins.server FILE` runs one by its settings file.
+sidecar beside it. `python -m foxspread.mesh.emulators.server FILE` runs one by its settings file.
 
 It misbehaves by named faults, for the next requests or for a share of all:
 
@@ -24,12 +24,12 @@
 
 import orjson
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.dataplane.serving import Desk, Exchange, Limits, Serving
-from foxspread.orchard.registry.lives import DRAINING, READY
-from foxspread.orchard.settings import Address, address, shown
-from foxspread.orchard.stand_ins.asking import asked, written
-from foxspread.orchard.stand_ins.ledger import Ledger
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits, Serving
+from foxspread.mesh.registry.incarnations import DRAINING, READY
+from foxspread.mesh.settings import Address, address, shown
+from foxspread.mesh.emulators.http_call import asked, written
+from foxspread.mesh.emulators.event_record import Ledger
 from foxspread.sums import Chance
 
 FAULTS = ("lose_answer", "cut_answer", "garble", "extra_answer", "slow", "hang", "crash")
--- a/foxspread/orchard/membership/dialling.py
+++ b/foxspread/mesh/gossip/connection_manager.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from foxspread.orchard.settings import Address
+from foxspread.mesh.settings import Address
 
 LINKS_MOST = 5  # to keepers, that a sidecar keeps
 CALLS_MOST = 5  # under way at once
--- a/foxspread/orchard/membership/views.py
+++ b/foxspread/mesh/gossip/partial_view.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from foxspread.orchard.settings import Address
+from foxspread.mesh.settings import Address
 
 SIZE = 10  # neighbours in a view, at the most
 GIVEN = 4  # of them told in one shuffle, the teller itself included
--- a/foxspread/orchard/health/health.py
+++ b/foxspread/mesh/health/health.py
@@ -11,7 +11,7 @@
 from foxspread.decisions.measures import Measures
 from foxspread.decisions.rotation import Rotation
 from foxspread.model import Category, HandOff, ListedServer, Outcome
-from foxspread.orchard.health.upstreams import Service, Upstream
+from foxspread.mesh.health.upstreams import Service, Upstream
 from foxspread.sums import Chance, Mean
 
 KEENNESS = 5.0  # power of a server's pace, by the best of its zone, that is its part of a turn
--- a/foxspread/orchard/health/upstreams.py
+++ b/foxspread/mesh/health/upstreams.py
@@ -6,9 +6,9 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from foxspread.orchard.registry.lives import READY
-from foxspread.orchard.registry.records import UP, Records
-from foxspread.orchard.settings import Address
+from foxspread.mesh.registry.incarnations import READY
+from foxspread.mesh.registry.endpoint_records import UP, Records
+from foxspread.mesh.settings import Address
 from foxspread.rings import Ring
 from foxspread.sums import Mean
 
--- a/foxspread/orchard/hollow/run.py
+++ b/foxspread/mesh/hollow/experiment.py
@@ -14,11 +14,11 @@
 
 import orjson
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.hollow.sidecar import BERTHS
-from foxspread.orchard.hollow.slopes import share, shown, table
-from foxspread.orchard.nursery.growing import Child, free
-from foxspread.orchard.nursery.plot import (
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.hollow.sidecar import BERTHS
+from foxspread.mesh.hollow.slopes import share, shown, table
+from foxspread.mesh.local_cluster.supervisor import Child, free
+from foxspread.mesh.local_cluster.layout import (
     APP,
     BOUNDS,
     CORE,
@@ -30,8 +30,8 @@
     settings,
     written,
 )
-from foxspread.orchard.settings import FILE_VARIABLE
-from foxspread.orchard.stand_ins.operator import Operator
+from foxspread.mesh.settings import FILE_VARIABLE
+from foxspread.mesh.emulators.operator import Operator
 
 HOST = "orchard.example"
 STEP_S = 60.0  # for whatever is waited for
@@ -84,7 +84,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / "sidecars.json"
         written(path, {"sidecars": self.sidecars})
-        child = Child("hollow", self.folder, ["foxspread.orchard.hollow.process", str(path)], {})
+        child = Child("hollow", self.folder, ["foxspread.mesh.hollow.process", str(path)], {})
         with open(child.log, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *child.command,
@@ -231,7 +231,7 @@
             Child(
                 each.node,
                 folder / each.node,
-                ["foxspread.orchard", "node"],
+                ["foxspread.mesh", "node"],
                 {FILE_VARIABLE: str(folder / each.node / "node.json")},
             )
             for each in self.plot.machines
--- a/foxspread/orchard/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -1,4 +1,4 @@
-"""`python -m foxspread.orchard.hollow.process FILE`: several hundred hollow sidecars in one event loop. It is
+"""`python -m foxspread.mesh.hollow.process FILE`: several hundred hollow sidecars in one event loop. It is
 told what to do by lines of JSON at its standard input, answers each by one, and ends with its input.
 """
 
@@ -13,10 +13,10 @@
 import orjson
 import uvloop
 
-from foxspread.orchard.hollow.meter import Meter
-from foxspread.orchard.hollow.sidecar import Hollow
-from foxspread.orchard.log import start
-from foxspread.orchard.settings import taken
+from foxspread.mesh.hollow.traffic_meter import Meter
+from foxspread.mesh.hollow.sidecar import Hollow
+from foxspread.mesh.log import start
+from foxspread.mesh.settings import taken
 
 MARKS_MOST = 2_000_000  # times that are kept until they are asked for; more are left out, and missed
 PAGE = os.sysconf("SC_PAGE_SIZE")
--- a/foxspread/orchard/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -11,12 +11,12 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.hollow.meter import Meter, MeteredLoop
-from foxspread.orchard.node import Node
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.registry.records import Record
-from foxspread.orchard.settings import Settings
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
+from foxspread.mesh.node import Node
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.registry.endpoint_records import Record
+from foxspread.mesh.settings import Settings
 
 BERTHS = 8  # of a server, until it says something else
 Mark = Callable[[str, float], None]  # what is known here now, and when (seconds, monotonic, of the machine)
--- a/foxspread/orchard/hollow/weigh.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from foxspread.orchard.configuration.items import ROUTE, SERVICE, Item
-from foxspread.orchard.configuration.routes import RouteTable
-from foxspread.orchard.health.upstreams import Upstreams
-from foxspread.orchard.hollow.process import resident
-from foxspread.orchard.hollow.slopes import shown
-from foxspread.orchard.membership.exchange import Exchange
-from foxspread.orchard.messaging.netstrings import Decoder, encode
-from foxspread.orchard.registry.records import Records, record
-from foxspread.orchard.replication.copy import Copy, row, unrow
+from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.hollow.process import resident
+from foxspread.mesh.hollow.slopes import shown
+from foxspread.mesh.gossip.anti_entropy import Exchange
+from foxspread.mesh.transport.netstrings import Decoder, encode
+from foxspread.mesh.registry.endpoint_records import Records, record
+from foxspread.mesh.replication.learner import Copy, row, unrow
 
 LIFE = 1_764_000_000_000  # milliseconds of the wall clock, as a record's version begins with
 BALLOT = (1000, f"{LIFE:x}0a1b2c")
--- a/foxspread/orchard/hollow/meter.py
+++ b/foxspread/mesh/hollow/traffic_meter.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.orchard.messaging.link import Link
-from foxspread.orchard.settings import Address
+from foxspread.mesh.transport.peer_connection import Link
+from foxspread.mesh.settings import Address
 
 BEAT_MOST = 32  # bytes of a read in which a link hears nothing but beats
 
--- a/foxspread/orchard/nursery/plot.py
+++ b/foxspread/mesh/local_cluster/layout.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from foxspread.orchard.settings import Address
+from foxspread.mesh.settings import Address
 
 FILE = "plot.json"
 NET = "127.0.1"
--- a/foxspread/orchard/nursery/trial.py
+++ b/foxspread/mesh/local_cluster/smoke_test.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.nursery.growing import pid_of
-from foxspread.orchard.nursery.plot import CORE, SERVICES, SIDE, Plot, PlotError
-from foxspread.orchard.stand_ins.client import Answered, Client, Way
-from foxspread.orchard.stand_ins.ledger import Ledger, rows
-from foxspread.orchard.stand_ins.operator import Operator, Outcome
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.local_cluster.supervisor import pid_of
+from foxspread.mesh.local_cluster.layout import CORE, SERVICES, SIDE, Plot, PlotError
+from foxspread.mesh.emulators.client import Answered, Client, Way
+from foxspread.mesh.emulators.event_record import Ledger, rows
+from foxspread.mesh.emulators.operator import Operator, Outcome
 
 HOST = "orchard.example"
 PRESS, CELLAR = SERVICES
--- a/foxspread/orchard/nursery/growing.py
+++ b/foxspread/mesh/local_cluster/supervisor.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 import foxspread
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.nursery.plot import (
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.local_cluster.layout import (
     APP,
     CORE,
     INNER,
@@ -22,9 +22,9 @@
     prepare,
     write_settings,
 )
-from foxspread.orchard.settings import FILE_VARIABLE, Address, shown
-from foxspread.orchard.stand_ins.asking import asked, written
-from foxspread.orchard.stand_ins.ledger import rows
+from foxspread.mesh.settings import FILE_VARIABLE, Address, shown
+from foxspread.mesh.emulators.http_call import asked, written
+from foxspread.mesh.emulators.event_record import rows
 
 ROOT = pathlib.Path(foxspread.__file__).parents[1]
 AGAIN_S = 0.3  # after its end, until a process is started again
@@ -87,9 +87,9 @@
         for machine in plot.machines:
             folder = plot.file(machine.node, "")
             variables = {FILE_VARIABLE: str(folder / "node.json")}
-            self.nodes.append(Child(machine.node, folder, ["foxspread.orchard", "node"], variables))
+            self.nodes.append(Child(machine.node, folder, ["foxspread.mesh", "node"], variables))
             if machine.kind == SIDE:
-                arguments = ["foxspread.orchard.stand_ins.server", str(folder / "server.json")]
+                arguments = ["foxspread.mesh.emulators.server", str(folder / "server.json")]
                 self.servers.append(Child(f"server-of-{machine.node}", folder, arguments, {}))
         self.ending = False
         self.keeping: dict[Child, asyncio.Task[None]] = {}
--- a/foxspread/orchard/node.py
+++ b/foxspread/mesh/node.py
@@ -11,40 +11,40 @@
 import traceback
 from typing import Any
 
-from foxspread.orchard.events.journal import Event, Journal
-from foxspread.orchard.dataplane.caller import CallerDesk
-from foxspread.orchard.dataplane.errand import Steering
-from foxspread.orchard.dataplane.hop import Hop, HopDesk
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.dataplane.lasthop import LastHop
-from foxspread.orchard.dataplane.memory import share
-from foxspread.orchard.dataplane.serving import Desk, Serving
-from foxspread.orchard.control.configuration import Configuration
-from foxspread.orchard.control.desk import ControlDesk, ReadyDesk
-from foxspread.orchard.control.instances import Instances
-from foxspread.orchard.control.readiness import Readiness, Standstill
-from foxspread.orchard.configuration.items import LIMITS, MEMBERS, Item
-from foxspread.orchard.configuration.routes import RouteTable
-from foxspread.orchard.registry.lives import Lives
-from foxspread.orchard.registry.records import LEAVING, UP, Record, Records, record
-from foxspread.orchard.registry.spread import Spread
-from foxspread.orchard.membership.dialling import CALL_S, Dialling, Leaning
-from foxspread.orchard.membership.exchange import Exchange
-from foxspread.orchard.membership.views import Neighbour, View, neighbour
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Broken, Failure
-from foxspread.orchard.messaging.datagrams import Datagrams
-from foxspread.orchard.messaging.link import Link
-from foxspread.orchard.health.upstreams import Upstreams
-from foxspread.orchard.replication.contact import Contact, Report, Starts
-from foxspread.orchard.replication.catchup import CatchUp
-from foxspread.orchard.replication.copy import Copy, ballot, unrow
-from foxspread.orchard.replication.disk import Disk
-from foxspread.orchard.replication.keeper import CUT_OFF_S, Keeper
-from foxspread.orchard.replication.replacement import Replacement, View as MembersView
-from foxspread.orchard.replication.replica import PATIENCE_S
-from foxspread.orchard.replication.acceptor import Acceptor
-from foxspread.orchard.settings import Address, Settings, address, moved, read, shown
+from foxspread.mesh.event_log import Event, Journal
+from foxspread.mesh.dataplane.caller import CallerDesk
+from foxspread.mesh.dataplane.errand import Steering
+from foxspread.mesh.dataplane.hop import Hop, HopDesk
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.dataplane.lasthop import LastHop
+from foxspread.mesh.dataplane.memory import share
+from foxspread.mesh.dataplane.serving import Desk, Serving
+from foxspread.mesh.control_api.configuration import Configuration
+from foxspread.mesh.control_api.handlers import ControlDesk, ReadyDesk
+from foxspread.mesh.control_api.instances import Instances
+from foxspread.mesh.control_api.readiness import Readiness, Standstill
+from foxspread.mesh.configuration.items import LIMITS, MEMBERS, Item
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.registry.incarnations import Lives
+from foxspread.mesh.registry.endpoint_records import LEAVING, UP, Record, Records, record
+from foxspread.mesh.registry.drain_propagation import Spread
+from foxspread.mesh.gossip.connection_manager import CALL_S, Dialling, Leaning
+from foxspread.mesh.gossip.anti_entropy import Exchange
+from foxspread.mesh.gossip.partial_view import Neighbour, View, neighbour
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Broken, Failure
+from foxspread.mesh.transport.datagrams import Datagrams
+from foxspread.mesh.transport.peer_connection import Link
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.replication.quorum_contact import Contact, Report, Starts
+from foxspread.mesh.replication.snapshot_transfer import CatchUp
+from foxspread.mesh.replication.learner import Copy, ballot, unrow
+from foxspread.mesh.replication.storage import Disk
+from foxspread.mesh.replication.replica_server import CUT_OFF_S, Keeper
+from foxspread.mesh.replication.reconfiguration import Replacement, View as MembersView
+from foxspread.mesh.replication.replica import PATIENCE_S
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.settings import Address, Settings, address, moved, read, shown
 from foxspread.sums import Chance
 
 TICK_S = 0.1
@@ -664,5 +664,5 @@
 def _where(error: BaseException | None) -> str:
     """The innermost of our own lines that it went through."""
     steps = traceback.extract_tb(error.__traceback__) if error is not None else []
-    ours = [step for step in steps if "orchard" in step.filename]
+    ours = [step for step in steps if "mesh" in step.filename]
     return f"{os.path.basename(ours[-1].filename)}:{ours[-1].lineno}" if ours else ""
--- a/foxspread/orchard/registry/records.py
+++ b/foxspread/mesh/registry/endpoint_records.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass, field
 
-from foxspread.orchard.registry.lives import Server, server
-from foxspread.orchard.settings import Address, address, shown
+from foxspread.mesh.registry.incarnations import Server, server
+from foxspread.mesh.settings import Address, address, shown
 
 UP, LEAVING = "up", "leaving"
 
--- a/foxspread/orchard/registry/lives.py
+++ b/foxspread/mesh/registry/incarnations.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from foxspread.orchard.outcome import Failure
+from foxspread.mesh.errors import Failure
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 MISSED = 2.6  # beats, after which one that says nothing counts as gone
--- a/foxspread/orchard/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -20,9 +20,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.orchard.configuration.items import MEMBERS, Item, Key, unpacked
-from foxspread.orchard.replication.copy import NONE, Ballot, Copy, ballot, row, unrow
-from foxspread.orchard.replication.members import Members, enough_to_enrol, members_of
+from foxspread.mesh.configuration.items import MEMBERS, Item, Key, unpacked
+from foxspread.mesh.replication.learner import NONE, Ballot, Copy, ballot, row, unrow
+from foxspread.mesh.replication.membership import Members, enough_to_enrol, members_of
 
 Message = dict[str, Any]
 Write = tuple  # ("meta", name, value), ("items", rows) or ("drop", keys of items)
--- a/foxspread/orchard/replication/copy.py
+++ b/foxspread/mesh/replication/learner.py
@@ -11,8 +11,8 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpacked
-from foxspread.orchard.outcome import Broken
+from foxspread.mesh.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpacked
+from foxspread.mesh.errors import Broken
 
 Ballot = tuple[int, str]  # a number, and the life of the process that chose it: no two alike
 NONE: Ballot = (0, "")
--- a/foxspread/orchard/replication/members.py
+++ b/foxspread/mesh/replication/membership.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
 
-from foxspread.orchard.configuration.items import MEMBERS, Item
+from foxspread.mesh.configuration.items import MEMBERS, Item
 
 
 @dataclass(frozen=True, slots=True)
--- a/foxspread/orchard/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.orchard.configuration.items import Item, Key, unpacked
-from foxspread.orchard.configuration.orders import collected, digest_of_order, judged
-from foxspread.orchard.outcome import Failure, conflict, unsettled
-from foxspread.orchard.replication.acceptor import MEMBERS_KEY, Acceptor, Message, Write, sound
-from foxspread.orchard.replication.copy import Ballot, ballot, unrow
-from foxspread.orchard.replication.members import Members, members_of, one_step, quorum
+from foxspread.mesh.configuration.items import Item, Key, unpacked
+from foxspread.mesh.configuration.idempotency import collected, digest_of_order, judged
+from foxspread.mesh.errors import Failure, conflict, unsettled
+from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, Message, Write, sound
+from foxspread.mesh.replication.learner import Ballot, ballot, unrow
+from foxspread.mesh.replication.membership import Members, members_of, one_step, quorum
 
 ROUND_S = 0.45  # for a majority to answer one message: two syncs of a slow disk
 PAUSE_S = 0.012  # after a lost ballot, by chance up to that, doubling
--- a/foxspread/orchard/replication/contact.py
+++ b/foxspread/mesh/replication/quorum_contact.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.orchard.replication.copy import NONE, Ballot
-from foxspread.orchard.replication.disk import older
-from foxspread.orchard.replication.members import Members, quorum
+from foxspread.mesh.replication.learner import NONE, Ballot
+from foxspread.mesh.replication.storage import older
+from foxspread.mesh.replication.membership import Members, quorum
 
 TELL_S = 1.5  # older than that, nothing of the settled set is told to sidecars
 ASK_S = 0.3  # between askings
--- a/foxspread/orchard/replication/replacement.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -16,12 +16,12 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from foxspread.orchard.configuration.items import LEASE, MEMBERS, Item
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.replication.contact import Report
-from foxspread.orchard.replication.copy import Ballot, Copy
-from foxspread.orchard.replication.members import Members, changed, quorum
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.replication.quorum_contact import Report
+from foxspread.mesh.replication.learner import Ballot, Copy
+from foxspread.mesh.replication.membership import Members, changed, quorum
 
 LEAST = 3  # members, where there are so many machines: fewer bear nothing
 FRESH_S = 1.0  # a report older than that says nothing
--- a/foxspread/orchard/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -5,12 +5,12 @@
 
 from collections.abc import Callable, Iterable
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Failure, unsettled
-from foxspread.orchard.replication.copy import NONE, Ballot, unrow
-from foxspread.orchard.replication.acceptor import Message, Acceptor, Write
-from foxspread.orchard.replication.proposer import Out, Proposer
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Failure, unsettled
+from foxspread.mesh.replication.learner import NONE, Ballot, unrow
+from foxspread.mesh.replication.acceptor import Message, Acceptor, Write
+from foxspread.mesh.replication.proposer import Out, Proposer
 
 ASKED = ("prepare", "accept")  # of an acceptor
 TOLD = ("promise", "nack", "behind", "stale", "accepted")  # to a proposer
--- a/foxspread/orchard/replication/keeper.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Callable
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.replication.disk import Disk
-from foxspread.orchard.replication.acceptor import Message
-from foxspread.orchard.replication.contact import Report
-from foxspread.orchard.replication.members import Members
-from foxspread.orchard.replication.replica import PATIENCE_S, Replica
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.replication.storage import Disk
+from foxspread.mesh.replication.acceptor import Message
+from foxspread.mesh.replication.quorum_contact import Report
+from foxspread.mesh.replication.membership import Members
+from foxspread.mesh.replication.replica import PATIENCE_S, Replica
 
 ITEM_S = 0.0005  # more for each item of a call: a large one takes its time at each step
 CUT_OFF_S = 0.3  # for a call on a keeper without contact to a majority: its caller is to go elsewhere soon
--- a/foxspread/orchard/replication/catchup.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from foxspread.orchard.replication.copy import (
+from foxspread.mesh.replication.learner import (
     NONE,
     START,
     Ballot,
--- a/foxspread/orchard/replication/disk.py
+++ b/foxspread/mesh/replication/storage.py
@@ -17,9 +17,9 @@
 
 import orjson
 
-from foxspread.orchard.log import say
-from foxspread.orchard.replication.acceptor import Saved, Write
-from foxspread.orchard.replication.copy import Ballot
+from foxspread.mesh.log import say
+from foxspread.mesh.replication.acceptor import Saved, Write
+from foxspread.mesh.replication.learner import Ballot
 
 FILE = "rootstock.sqlite"
 FORMAT = "2"
--- a/foxspread/orchard/settings.py
+++ b/foxspread/mesh/settings.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.plain import (
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.schema import (
     AMOUNT,
     COUNT,
     FLAG,
--- a/foxspread/orchard/simulation/runs.py
+++ b/foxspread/mesh/simulation/campaign.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from multiprocessing import get_context
 
-from foxspread.orchard.simulation.agreement import minimised, play
-from foxspread.orchard.simulation.broken import CORES
-from foxspread.orchard.simulation.judge import Break
-from foxspread.orchard.simulation.machines import Cores
-from foxspread.orchard.simulation.plan import Event, Plan, drawn
+from foxspread.mesh.simulation.fleet import minimised, play
+from foxspread.mesh.simulation.mutants import CORES
+from foxspread.mesh.simulation.invariants import Break
+from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.schedule import Event, Plan, drawn
 
 MOST_SHOWN = 20  # breaks that are kept with their texts
 
--- a/foxspread/orchard/simulation/disks.py
+++ b/foxspread/mesh/simulation/disks.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from foxspread.orchard.replication.acceptor import Saved, Write
-from foxspread.orchard.simulation.world import World
+from foxspread.mesh.replication.acceptor import Saved, Write
+from foxspread.mesh.simulation.world import World
 
 SYNC_S = 0.005
 AGAIN_S = 0.05  # after a write that it refused
--- a/foxspread/orchard/simulation/explore.py
+++ b/foxspread/mesh/simulation/explore.py
@@ -7,7 +7,7 @@
 """
 
 from collections.abc import Iterator
-from copy import copy
+from copy import copy as shallow_copy
 from dataclasses import dataclass, field, replace
 from functools import lru_cache
 from hashlib import blake2b
@@ -16,12 +16,12 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import THEIRS, Item, Key, unpacked
-from foxspread.orchard.outcome import Broken, Failure
-from foxspread.orchard.replication.copy import Copy, ballot, unrow
-from foxspread.orchard.replication.acceptor import MEMBERS_KEY, Message, Saved, Acceptor
-from foxspread.orchard.replication.proposer import Out, Proposer
-from foxspread.orchard.simulation.machines import Cores
+from foxspread.mesh.configuration.items import THEIRS, Item, Key, unpacked
+from foxspread.mesh.errors import Broken, Failure
+from foxspread.mesh.replication.learner import Copy, ballot, unrow
+from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Message, Saved, Acceptor
+from foxspread.mesh.replication.proposer import Out, Proposer
+from foxspread.mesh.simulation.machines import Cores
 
 NEVER = 1e9
 ANSWERS = ("promise", "nack", "behind", "stale", "accepted")
@@ -92,7 +92,7 @@
 
     def copied(self) -> "Table":
         """One that may go another way; machines are shared until they are touched."""
-        new = copy(self)
+        new = shallow_copy(self)
         for name in ("disks", "acceptors", "proposers", "lives", "starts", "shown", "settled", "keys"):
             setattr(new, name, dict(getattr(self, name)))
         new.flying, new.told, new.faults = list(self.flying), list(self.told), list(self.faults)
@@ -344,10 +344,10 @@
 
 def _cloned(thing: Any) -> Any:
     """Its own containers; what they hold is never changed, but for calls."""
-    new = copy(thing)
+    new = shallow_copy(thing)
     for name, value in vars(thing).items():
         if isinstance(value, dict | list | set):
-            vars(new)[name] = copy(value)
+            vars(new)[name] = shallow_copy(value)
         elif isinstance(value, Copy):
             vars(new)[name] = _cloned(value)
     for name in ("waiting", "running"):
--- a/foxspread/orchard/simulation/faults.py
+++ b/foxspread/mesh/simulation/faults.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from foxspread.orchard.simulation.machines import Machine, Sidecar
+from foxspread.mesh.simulation.machines import Machine, Sidecar
 
 if TYPE_CHECKING:
-    from foxspread.orchard.simulation.agreement import Fleet
-    from foxspread.orchard.simulation.plan import Event
+    from foxspread.mesh.simulation.fleet import Fleet
+    from foxspread.mesh.simulation.schedule import Event
 
 CATCH_UP_S = 4.0  # after its start or return a machine counts as lost for so long
 GRACE_S = 6.0  # for one that leaves
--- a/foxspread/orchard/simulation/agreement.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.orchard.simulation.faults import Faults
-from foxspread.orchard.simulation.judge import ANSWERED_S, Break, Call, Judge
-from foxspread.orchard.simulation.machines import Cores, Machine, Party, Sidecar
-from foxspread.orchard.simulation.operators import Operators
-from foxspread.orchard.simulation.plan import Event, Plan, drawn
-from foxspread.orchard.simulation.world import Links, World
+from foxspread.mesh.simulation.faults import Faults
+from foxspread.mesh.simulation.invariants import ANSWERED_S, Break, Call, Judge
+from foxspread.mesh.simulation.machines import Cores, Machine, Party, Sidecar
+from foxspread.mesh.simulation.operators import Operators
+from foxspread.mesh.simulation.schedule import Event, Plan, drawn
+from foxspread.mesh.simulation.world import Links, World
 
 QUIET = ("hello", "have", "pull", "news", "piece", "rows", "contact", "contacted")  # not told in a trace
 ALIKE_S = 5.0  # after which all that live hold the same, without a call
--- a/foxspread/orchard/simulation/judge.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import LEASE, MEMBERS, Item, Key, consistent, for_all
-from foxspread.orchard.outcome import Failure
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item, Key, consistent, for_all
+from foxspread.mesh.errors import Failure
 
 ANSWERED_S = 4.0  # a call at a machine without trouble is answered within this
 FRESH_S = 4.0  # nothing is told, and nobody says ready, by what lacks something acknowledged longer ago
--- a/foxspread/orchard/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -6,23 +6,23 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from foxspread.orchard.configuration.items import LEASE, MEMBERS, THEIRS, Item, Key
-from foxspread.orchard.control.readiness import Readiness
-from foxspread.orchard.membership.exchange import Exchange
-from foxspread.orchard.outcome import Broken, Failure
-from foxspread.orchard.replication.catchup import CatchUp, Taken
-from foxspread.orchard.replication.contact import Contact, Report
-from foxspread.orchard.replication.copy import START, Copy, Piece, Place, ballot, unrow
-from foxspread.orchard.replication.acceptor import Acceptor
-from foxspread.orchard.replication.replica import PATIENCE_S, Replica
-from foxspread.orchard.replication.replacement import Replacement, View
-from foxspread.orchard.replication.proposer import Proposer
-from foxspread.orchard.simulation.disks import SYNC_S, SimDisk
-from foxspread.orchard.simulation.judge import shown
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, THEIRS, Item, Key
+from foxspread.mesh.control_api.readiness import Readiness
+from foxspread.mesh.gossip.anti_entropy import Exchange
+from foxspread.mesh.errors import Broken, Failure
+from foxspread.mesh.replication.snapshot_transfer import CatchUp, Taken
+from foxspread.mesh.replication.quorum_contact import Contact, Report
+from foxspread.mesh.replication.learner import START, Copy, Piece, Place, ballot, unrow
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.replica import PATIENCE_S, Replica
+from foxspread.mesh.replication.reconfiguration import Replacement, View
+from foxspread.mesh.replication.proposer import Proposer
+from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
+from foxspread.mesh.simulation.invariants import shown
 from foxspread.sums import Chance
 
 if TYPE_CHECKING:
-    from foxspread.orchard.simulation.agreement import Fleet
+    from foxspread.mesh.simulation.fleet import Fleet
 
 SETTLED = "="  # the source of the settled set, as in a node
 TICK_S = 0.1
--- a/foxspread/orchard/simulation/broken.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -4,19 +4,19 @@
 from dataclasses import replace
 from typing import Any
 
-from foxspread.orchard.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
-from foxspread.orchard.configuration.orders import judged
-from foxspread.orchard.control.readiness import Readiness
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.replication.catchup import CatchUp, Taken
-from foxspread.orchard.replication.contact import Contact
-from foxspread.orchard.replication.copy import NONE, Ballot, ballot, sealed
-from foxspread.orchard.replication.acceptor import Answer, Message, Saved, Acceptor, Write
-from foxspread.orchard.replication.members import Members
-from foxspread.orchard.replication.replica import Replica
-from foxspread.orchard.replication.proposer import Call, Out, Proposer
-from foxspread.orchard.simulation.machines import Cores
-from foxspread.orchard.simulation.disks import SimDisk
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
+from foxspread.mesh.configuration.idempotency import judged
+from foxspread.mesh.control_api.readiness import Readiness
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.replication.snapshot_transfer import CatchUp, Taken
+from foxspread.mesh.replication.quorum_contact import Contact
+from foxspread.mesh.replication.learner import NONE, Ballot, ballot, sealed
+from foxspread.mesh.replication.acceptor import Answer, Message, Saved, Acceptor, Write
+from foxspread.mesh.replication.membership import Members
+from foxspread.mesh.replication.replica import Replica
+from foxspread.mesh.replication.proposer import Call, Out, Proposer
+from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.disks import SimDisk
 
 
 class VotesAtOnce(Acceptor):
--- a/foxspread/orchard/simulation/operators.py
+++ b/foxspread/mesh/simulation/operators.py
@@ -2,13 +2,13 @@
 
 from typing import TYPE_CHECKING
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.outcome import Failure, unsettled
-from foxspread.orchard.simulation.judge import BACK_S, Call
-from foxspread.orchard.simulation.machines import Machine
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.errors import Failure, unsettled
+from foxspread.mesh.simulation.invariants import BACK_S, Call
+from foxspread.mesh.simulation.machines import Machine
 
 if TYPE_CHECKING:
-    from foxspread.orchard.simulation.agreement import Fleet
+    from foxspread.mesh.simulation.fleet import Fleet
 
 SILENCE_S = 1.0  # after which an operator asks another
 GIVES_UP_S = 14.0
--- a/foxspread/orchard/simulation/plan.py
+++ b/foxspread/mesh/simulation/schedule.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from foxspread.orchard.configuration.items import LIMITS, ROUTE, SERVICE, Item
-from foxspread.orchard.simulation.judge import shown
+from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item
+from foxspread.mesh.simulation.invariants import shown
 from foxspread.sums import Chance
 
 FAULTS = (
--- a/foxspread/orchard/messaging/datagrams.py
+++ b/foxspread/mesh/transport/datagrams.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.messaging.netstrings import Decoder, encode
-from foxspread.orchard.settings import Address
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.transport.netstrings import Decoder, encode
+from foxspread.mesh.settings import Address
 
 
 class Datagrams(asyncio.DatagramProtocol):
--- a/foxspread/orchard/messaging/netstrings.py
+++ b/foxspread/mesh/transport/netstrings.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from foxspread.orchard.outcome import Failure
+from foxspread.mesh.errors import Failure
 
 MOST = 8 * 1024 * 1024  # bytes of one message, packed or not
 PACKED_FROM = 1500  # bytes
--- a/foxspread/orchard/messaging/link.py
+++ b/foxspread/mesh/transport/peer_connection.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from foxspread.orchard.log import say
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.messaging.netstrings import Decoder, encode
+from foxspread.mesh.log import say
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.transport.netstrings import Decoder, encode
 
 BEAT_S = 0.4
 SILENT_S = 1.5
--- a/foxspread/orchard/__init__.py
+++ b/foxspread/orchard/__init__.py
@@ -1,2 +1,1 @@
-"""The mesh: one program for all machines. docs/design/orchard.md has the choice, docs/architecture.md the
-names."""
+"""The former name of `foxspread.mesh`, kept for one release so that commands in use still start."""
--- a/foxspread/orchard/events/__init__.py
+++ /dev/null
@@ -1,2 +0,0 @@
-"""The journal of events in memory, and the views folded from it (the field's term: event log,
-projections)."""
--- a/tests/orchard/budget/test_budget.py
+++ b/tests/mesh/budget/test_budget.py
@@ -5,8 +5,8 @@
 
 import testtools
 
-from foxspread.orchard.budget.budget import STEPS, Budget, Window
-from foxspread.orchard.budget.runs import AFTER_S, SWEEP_S, Runs
+from foxspread.mesh.budget.budget import STEPS, Budget, Window
+from foxspread.mesh.budget.runs import AFTER_S, SWEEP_S, Runs
 
 RATIO, SLACK, SPAN = 0.2, 50, 10.0
 
--- a/tests/orchard/configuration/test_orders.py
+++ b/tests/mesh/configuration/test_idempotency.py
@@ -4,11 +4,11 @@
 
 import testtools
 
-from foxspread.orchard.configuration import orders
-from foxspread.orchard.configuration.items import KEPT, LEASE, MEMBERS, REFUSED, SERVICE, Item
-from foxspread.orchard.configuration.orders import collected, digest_of_order, judged, merged
-from foxspread.orchard.outcome import Failure
-from tests.orchard.replication.orders import route, service
+from foxspread.mesh.configuration import idempotency
+from foxspread.mesh.configuration.items import KEPT, LEASE, MEMBERS, REFUSED, SERVICE, Item
+from foxspread.mesh.configuration.idempotency import collected, digest_of_order, judged, merged
+from foxspread.mesh.errors import Failure
+from tests.mesh.replication.scripted_replicas import route, service
 
 
 class Register:
@@ -64,11 +64,11 @@
     def test_what_is_remembered_is_bounded_and_beyond_it_nothing_is_said(self):
         # Past the bound no order is confirmed that may differ from what was, nor refused if it was taken.
         register = Register()
-        changes = [service(version=n, tag=n) for n in range(1, orders.PAST_MOST + 12)]
+        changes = [service(version=n, tag=n) for n in range(1, idempotency.PAST_MOST + 12)]
         for item in changes:
             self.assertEqual(200, register.told(item))
         floor, known = register.held[SERVICE, "v"].past
-        self.assertEqual((10, orders.PAST_MOST), (floor, len(known)))
+        self.assertEqual((10, idempotency.PAST_MOST), (floor, len(known)))
         for item in changes:
             other = service(version=item.version, tag=-1)
             expected = (503, 503) if item.version <= floor else (200, 409)
@@ -76,7 +76,7 @@
 
     def test_an_older_number_is_noted_without_pushing_out_what_was_confirmed(self):
         register = Register()
-        for n in range(100, 100 + orders.PAST_MOST + 1):
+        for n in range(100, 100 + idempotency.PAST_MOST + 1):
             register.told(service(version=n, tag=n))
         self.assertEqual(200, register.told(service(version=50, tag=1)))
         self.assertEqual([503, 503], [register.told(service(version=50, tag=tag)) for tag in (1, 2)])
@@ -129,11 +129,11 @@
 
     def test_refusals_are_kept_for_their_time_and_no_longer(self):
         register = Register()
-        for n in range(orders.REFUSED_MOST):
+        for n in range(idempotency.REFUSED_MOST):
             register.clock = n * 0.01
             self.assertEqual(400, register.told(route(f"r{n}", "/r/", "w")))
         self.assertEqual(503, register.told(self.late))  # one that could not be remembered is not told
-        register.clock += orders.REFUSED_KEPT_S
+        register.clock += idempotency.REFUSED_KEPT_S
         self.assertEqual(400, register.told(self.late))
         self.assertGreater(register.held[KEPT, REFUSED].content["t"], 0)
 
@@ -150,12 +150,12 @@
 
     def test_the_oldest_of_too_many_dropped_items_are_forgotten(self):
         # And an unknown name below the floor is left without a clear answer: it may be one of them.
-        gone = [Item(SERVICE, f"s{n}", 5 + n % 3, None) for n in range(orders.DROPPED_MOST + 1)]
+        gone = [Item(SERVICE, f"s{n}", 5 + n % 3, None) for n in range(idempotency.DROPPED_MOST + 1)]
         held = {item.key: item for item in gone}
         at = {item.key: (n + 1, "w") for n, item in enumerate(gone)}
         self.assertEqual({}, collected(dict(list(held.items())[1:]), at))
         kept = collected(held, at)[KEPT, "dropped"]
-        oldest = orders.DROPPED_MOST + 1 - orders.DROPPED_REST
+        oldest = idempotency.DROPPED_MOST + 1 - idempotency.DROPPED_REST
         self.assertEqual({"floor": 7, "at": [oldest, "w"]}, kept.content)
         there = {kept.key: kept}
         self.assertEqual(503, merged(there, [service("s0", 7)]).status)
--- a/tests/orchard/configuration/test_routes.py
+++ b/tests/mesh/configuration/test_routes.py
@@ -2,10 +2,10 @@
 
 import testtools
 
-from foxspread.orchard.configuration.items import ROUTE, SERVICE, Item
-from foxspread.orchard.configuration.routes import RouteTable, route_of
+from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.routes import RouteTable, route_of
 from foxspread.sums import Chance
-from tests.orchard.helpers import route
+from tests.mesh.helpers import route
 
 
 class Finds(testtools.TestCase):
--- a/tests/orchard/configuration/test_reading.py
+++ b/tests/mesh/configuration/test_validation.py
@@ -3,11 +3,11 @@
 import orjson
 import testtools
 
-from foxspread.orchard.configuration.items import LIMITS, ROUTE, SERVICE, Item, consistent, laid_out
-from foxspread.orchard.configuration.orders import merged
-from foxspread.orchard.configuration.reading import read
-from foxspread.orchard.outcome import Failure
-from tests.orchard.helpers import rule
+from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item, consistent, laid_out
+from foxspread.mesh.configuration.idempotency import merged
+from foxspread.mesh.configuration.validation import read
+from foxspread.mesh.errors import Failure
+from tests.mesh.helpers import rule
 
 FLEET = {"name": "s1", "health": "/health", "connection_cap": 130, "protocol": "h1", "edition": "r7"}
 SIZES = {"envelope_bytes": 16384, "contents_bytes": 67108864, "envelope_s": 3, "idle_s": 15, "edition": "r7"}
--- a/tests/orchard/control/test_desk.py
+++ b/tests/mesh/control_api/test_handlers.py
@@ -5,13 +5,13 @@
 
 import orjson
 
-from foxspread.orchard.dataplane.serving import Serving
-from foxspread.orchard.control.configuration import Configuration
-from foxspread.orchard.control.desk import ORDER_MOST, ControlDesk, ReadyDesk
-from foxspread.orchard.control.instances import Instances
-from foxspread.orchard.registry.lives import DRAINING, Lives
-from foxspread.orchard.outcome import conflict, unsettled
-from tests.orchard.helpers import OnLoop, Transport, header, rule, statuses
+from foxspread.mesh.dataplane.serving import Serving
+from foxspread.mesh.control_api.configuration import Configuration
+from foxspread.mesh.control_api.handlers import ORDER_MOST, ControlDesk, ReadyDesk
+from foxspread.mesh.control_api.instances import Instances
+from foxspread.mesh.registry.incarnations import DRAINING, Lives
+from foxspread.mesh.errors import conflict, unsettled
+from tests.mesh.helpers import OnLoop, Transport, header, rule, statuses
 
 BEAT = {"service": "s1", "address": "10.0.0.9:8080", "zone": "z", "edition": "v1", "berths": 12,
         "state": "ready", "cold_s_time": 0, "sequence": 4}  # fmt: skip
--- a/tests/orchard/control/test_readiness.py
+++ b/tests/mesh/control_api/test_readiness.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from foxspread.orchard.control.readiness import (
+from foxspread.mesh.control_api.readiness import (
     ASK_S,
     BASIS_S,
     LEANT_ON_S,
--- a/tests/orchard/dataplane/test_caller.py
+++ b/tests/mesh/dataplane/test_caller.py
@@ -3,13 +3,13 @@
 
 from foxspread.model import Outcome
 from foxspread.net.http import Message
-from foxspread.orchard.dataplane.caller import judged
-from foxspread.orchard.dataplane.errand import MARGIN_S
-from foxspread.orchard.dataplane.lasthop import DRAIN_PART
-from foxspread.orchard.dataplane.memory import Share
-from foxspread.orchard.configuration.items import ROUTE, Item
-from foxspread.orchard.settings import BOUNDS
-from tests.orchard.helpers import (
+from foxspread.mesh.dataplane.caller import judged
+from foxspread.mesh.dataplane.errand import MARGIN_S
+from foxspread.mesh.dataplane.lasthop import DRAIN_PART
+from foxspread.mesh.dataplane.memory import Share
+from foxspread.mesh.configuration.items import ROUTE, Item
+from foxspread.mesh.settings import BOUNDS
+from tests.mesh.helpers import (
     Late,
     Loop,
     OnLoop,
--- a/tests/orchard/dataplane/test_ends.py
+++ b/tests/mesh/dataplane/test_ends.py
@@ -2,8 +2,8 @@
 that are used again, answers before the request is written, peers that wake, addresses that change hands,
 restarts of both sidecars (docs/design/answers.md)."""
 
-from foxspread.orchard.dataplane.serving import Serving
-from tests.orchard.helpers import (
+from foxspread.mesh.dataplane.serving import Serving
+from tests.mesh.helpers import (
     OnLoop,
     Script,
     Site,
--- a/tests/orchard/dataplane/test_errand.py
+++ b/tests/mesh/dataplane/test_errand.py
@@ -5,13 +5,13 @@
 import testtools
 
 from foxspread.model import Outcome
-from foxspread.orchard.dataplane.errand import COUNT_S, MARGIN_S, PROMISES, Pass, Refuse, Send, Steering
-from foxspread.orchard.configuration.routes import route_of
-from foxspread.orchard.registry.records import Record, Records, server
-from foxspread.orchard.health.upstreams import Upstreams
-from foxspread.orchard.settings import BOUNDS
+from foxspread.mesh.dataplane.errand import COUNT_S, MARGIN_S, PROMISES, Pass, Refuse, Send, Steering
+from foxspread.mesh.configuration.routes import route_of
+from foxspread.mesh.registry.endpoint_records import Record, Records, server
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.settings import BOUNDS
 from foxspread.sums import Chance
-from tests.orchard.helpers import route
+from tests.mesh.helpers import route
 
 # How a try may end: outcome, whether it may have reached a server, status of the server's own answer.
 ENDS = {
--- a/tests/orchard/dataplane/test_heads.py
+++ b/tests/mesh/dataplane/test_heads.py
@@ -3,8 +3,8 @@
 import testtools
 
 from foxspread.net import http
-from foxspread.orchard.dataplane import heads
-from foxspread.orchard.dataplane.lasthop import Terms
+from foxspread.mesh.dataplane import heads
+from foxspread.mesh.dataplane.lasthop import Terms
 
 
 class Told(testtools.TestCase):
--- a/tests/orchard/dataplane/test_lanes.py
+++ b/tests/mesh/dataplane/test_lanes.py
@@ -1,8 +1,8 @@
 """The side that asks: one answer for each request, in any cut, and connections that are counted."""
 
-from foxspread.orchard.dataplane.lanes import STRAYS_MOST, Lane, Lanes
-from foxspread.orchard.dataplane.memory import Share
-from tests.orchard.helpers import Loop, OnLoop, Script, Transport, answer
+from foxspread.mesh.dataplane.lanes import STRAYS_MOST, Lane, Lanes
+from foxspread.mesh.dataplane.memory import Share
+from tests.mesh.helpers import Loop, OnLoop, Script, Transport, answer
 
 PLACE = ("s", 80)
 CHUNKED = (
--- a/tests/orchard/dataplane/test_lasthop.py
+++ b/tests/mesh/dataplane/test_lasthop.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from foxspread.orchard.dataplane.lasthop import DRAIN_PART, PRESSED_S, QUEUE_MOST, LastHop, Terms
-from foxspread.orchard.registry.lives import DRAINING, READY, Lives
+from foxspread.mesh.dataplane.lasthop import DRAIN_PART, PRESSED_S, QUEUE_MOST, LastHop, Terms
+from foxspread.mesh.registry.incarnations import DRAINING, READY, Lives
 
 DRAIN_S = 2.0
 
--- a/tests/orchard/dataplane/test_path.py
+++ b/tests/mesh/dataplane/test_path.py
@@ -1,7 +1,7 @@
 """Both hops of a request, from the client's bytes to the servers' and back: what each failure leads to."""
 
-from foxspread.orchard.dataplane.serving import Serving
-from tests.orchard.helpers import (
+from foxspread.mesh.dataplane.serving import Serving
+from tests.mesh.helpers import (
     Loop,
     OnLoop,
     Script,
--- a/tests/orchard/dataplane/test_serving.py
+++ b/tests/mesh/dataplane/test_serving.py
@@ -1,7 +1,7 @@
 """The side that is asked: bytes in any cut, answers in order, bounds, and how connections end."""
 
-from foxspread.orchard.dataplane.memory import Share
-from foxspread.orchard.dataplane.serving import (
+from foxspread.mesh.dataplane.memory import Share
+from foxspread.mesh.dataplane.serving import (
     BUFFERED_MOST,
     LINGER_MOST_S,
     LINGER_S,
@@ -13,7 +13,7 @@
     Limits,
     Serving,
 )
-from tests.orchard.helpers import OnLoop, Transport, request, request_in, statuses
+from tests.mesh.helpers import OnLoop, Transport, request, request_in, statuses
 
 TWO = request(b"/one", b"POST", b"q1", b"pay") + request(b"/two", id=b"q2")
 # What two readers could see end in two places, or read as two different things.
--- a/tests/orchard/membership/test_exchange.py
+++ b/tests/mesh/gossip/test_anti_entropy.py
@@ -5,7 +5,7 @@
 
 import testtools
 
-from foxspread.orchard.membership.exchange import ASKED_S, Asked, Exchange
+from foxspread.mesh.gossip.anti_entropy import ASKED_S, Asked, Exchange
 
 
 class Pulls(testtools.TestCase):
--- a/tests/orchard/membership/test_dialling.py
+++ b/tests/mesh/gossip/test_connection_manager.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from foxspread.orchard.membership.dialling import (
+from foxspread.mesh.gossip.connection_manager import (
     CALL_S,
     CALLS_MOST,
     FORGET_S,
--- a/tests/orchard/membership/test_views.py
+++ b/tests/mesh/gossip/test_partial_view.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from foxspread.orchard.membership.views import OLD, SIZE, Neighbour, View
+from foxspread.mesh.gossip.partial_view import OLD, SIZE, Neighbour, View
 from foxspread.sums import Chance
 
 
--- a/tests/orchard/health/test_upstreams.py
+++ b/tests/mesh/health/test_upstreams.py
@@ -3,9 +3,9 @@
 import testtools
 
 from foxspread.model import Outcome
-from foxspread.orchard.registry.records import LEAVING, UP, Record, Records, server
-from foxspread.orchard.health.health import Health
-from foxspread.orchard.health.upstreams import Upstreams
+from foxspread.mesh.registry.endpoint_records import LEAVING, UP, Record, Records, server
+from foxspread.mesh.health.health import Health
+from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.sums import Chance
 
 
--- a/tests/orchard/helpers.py
+++ b/tests/mesh/helpers.py
@@ -7,18 +7,18 @@
 import testtools
 
 from foxspread.model import Outcome
-from foxspread.orchard.dataplane.caller import CallerDesk
-from foxspread.orchard.dataplane.errand import Steering
-from foxspread.orchard.dataplane.hop import Hop, HopDesk
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.dataplane.lasthop import LastHop
-from foxspread.orchard.dataplane.serving import Serving
-from foxspread.orchard.configuration.items import ROUTE, Item
-from foxspread.orchard.configuration.routes import RouteTable
-from foxspread.orchard.registry.lives import Lives
-from foxspread.orchard.registry.records import Record, Records, server
-from foxspread.orchard.health.upstreams import Upstreams
-from foxspread.orchard.settings import BOUNDS
+from foxspread.mesh.dataplane.caller import CallerDesk
+from foxspread.mesh.dataplane.errand import Steering
+from foxspread.mesh.dataplane.hop import Hop, HopDesk
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.dataplane.lasthop import LastHop
+from foxspread.mesh.dataplane.serving import Serving
+from foxspread.mesh.configuration.items import ROUTE, Item
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.registry.incarnations import Lives
+from foxspread.mesh.registry.endpoint_records import Record, Records, server
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.settings import BOUNDS
 from foxspread.sums import Chance
 
 ENDED = list(Outcome)
--- a/tests/orchard/hollow/test_run.py
+++ b/tests/mesh/hollow/test_experiment.py
@@ -1,4 +1,4 @@
-"""Hollow sidecars beside real keepers: `python -m foxspread.orchard hollow`."""
+"""Hollow sidecars beside real keepers: `python -m foxspread.mesh hollow`."""
 
 import json
 import os
@@ -9,11 +9,11 @@
 import testtools
 from click.testing import CliRunner
 
-from foxspread.orchard.__main__ import main
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.configuration.reading import read
-from foxspread.orchard.hollow.run import Shape, configuration, keepers, sidecars, zone
-from foxspread.orchard.settings import Settings, taken
+from foxspread.mesh.__main__ import main
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.configuration.validation import read
+from foxspread.mesh.hollow.experiment import Shape, configuration, keepers, sidecars, zone
+from foxspread.mesh.settings import Settings, taken
 
 
 class Laid(testtools.TestCase):
@@ -48,7 +48,7 @@
 
     def test_a_small_one_whole(self) -> None:
         # Guards: all phases, on real sockets and real keepers: every change arrives at all, and is counted.
-        folder = pathlib.Path(tempfile.mkdtemp(prefix="orchard-hollow-test-"))
+        folder = pathlib.Path(tempfile.mkdtemp(prefix="mesh-hollow-test-"))
         net = f"127.{10 + os.getpid() % 240}"
         options = ["--sizes", "8", "--a-process", "3", "--seconds", "2", "--net", net, "--services", "4"]
         options += ["--routes", "6", "--folder", str(folder / "f"), "--out", str(folder / "out.json")]
--- a/tests/orchard/hollow/test_process.py
+++ b/tests/mesh/hollow/test_process.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from foxspread.orchard.hollow import process
-from foxspread.orchard.hollow.process import Process
+from foxspread.mesh.hollow import process
+from foxspread.mesh.hollow.process import Process
 
 
 class Marks(testtools.TestCase):
--- a/tests/orchard/hollow/test_weigh.py
+++ b/tests/mesh/hollow/test_sizing.py
@@ -3,10 +3,10 @@
 import testtools
 from click.testing import CliRunner
 
-from foxspread.orchard.__main__ import main
-from foxspread.orchard.hollow.weigh import filled, items, message, rows, timed, weighed
-from foxspread.orchard.messaging.netstrings import encode
-from foxspread.orchard.registry.records import record
+from foxspread.mesh.__main__ import main
+from foxspread.mesh.hollow.sizing import filled, items, message, rows, timed, weighed
+from foxspread.mesh.transport.netstrings import encode
+from foxspread.mesh.registry.endpoint_records import record
 
 
 class Weighing(testtools.TestCase):
--- a/tests/orchard/hollow/test_slopes.py
+++ b/tests/mesh/hollow/test_slopes.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from foxspread.orchard.hollow.slopes import share, shown, slope, table
+from foxspread.mesh.hollow.slopes import share, shown, slope, table
 
 
 class Slopes(testtools.TestCase):
--- a/tests/orchard/hollow/test_meter.py
+++ b/tests/mesh/hollow/test_traffic_meter.py
@@ -5,12 +5,12 @@
 
 import testtools
 
-from foxspread.orchard.hollow.meter import Meter, MeteredLoop
-from foxspread.orchard.hollow.sidecar import Hollow
-from foxspread.orchard.messaging.link import Link
-from foxspread.orchard.messaging.netstrings import encode
-from foxspread.orchard.nursery.plot import BOUNDS
-from foxspread.orchard.settings import Settings
+from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
+from foxspread.mesh.hollow.sidecar import Hollow
+from foxspread.mesh.transport.peer_connection import Link
+from foxspread.mesh.transport.netstrings import encode
+from foxspread.mesh.local_cluster.layout import BOUNDS
+from foxspread.mesh.settings import Settings
 
 NET = f"127.{10 + os.getpid() // 250 % 240}.{os.getpid() % 250}"  # of this process alone
 
--- a/tests/orchard/registry/test_spread.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -2,10 +2,10 @@
 
 import testtools
 
-from foxspread.orchard.dataplane.lasthop import DRAIN_PART, LastHop, Terms
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.registry.lives import DRAINING, READY, Lives
-from foxspread.orchard.registry.spread import SPREAD_S, Spread
+from foxspread.mesh.dataplane.lasthop import DRAIN_PART, LastHop, Terms
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.registry.incarnations import DRAINING, READY, Lives
+from foxspread.mesh.registry.drain_propagation import SPREAD_S, Spread
 
 DRAIN_S = 2.0
 
--- a/tests/orchard/registry/test_lives.py
+++ b/tests/mesh/registry/test_incarnations.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from foxspread.orchard.registry.lives import DRAINING, ENDED_KEPT_S, GONE, MISSED, READY, Lives
-from foxspread.orchard.registry.records import Record, Records, record, server
-from foxspread.orchard.outcome import Failure
+from foxspread.mesh.registry.incarnations import DRAINING, ENDED_KEPT_S, GONE, MISSED, READY, Lives
+from foxspread.mesh.registry.endpoint_records import Record, Records, record, server
+from foxspread.mesh.errors import Failure
 
 BEAT = {"service": "s1", "address": "a:80", "berths": 4, "state": READY, "sequence": 1}
 TOLD = {
--- a/tests/orchard/replication/make_stored_data.py
+++ b/tests/mesh/replication/make_stored_data.py
@@ -3,7 +3,7 @@
 run it in an export of d26c70f that this file, test_stored_data.py, tests/write_ahead_log.py and
 tests/stored_outcomes.py are copied into:
 
-    PYTHONPATH=EXPORT python -m tests.orchard.replication.make_stored_data FOLDER
+    PYTHONPATH=EXPORT python -m tests.mesh.replication.make_stored_data FOLDER
 
 Three voters settle routes, services and limits, drop and refuse some, and write a lease. One is wiped and
 enrols again. Then all start anew, the members change, and what follows stays in the write-ahead log (WAL):
@@ -20,12 +20,12 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import KEPT, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
-from foxspread.orchard.replication.acceptor import Acceptor, Saved
-from foxspread.orchard.replication.disk import Disk
-from foxspread.orchard.replication.members import changed
-from foxspread.orchard.replication.replica import Replica
-from tests.orchard.replication.test_stored_data import (
+from foxspread.mesh.configuration.items import KEPT, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
+from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.storage import Disk
+from foxspread.mesh.replication.membership import changed
+from foxspread.mesh.replication.replica import Replica
+from tests.mesh.replication.test_stored_data import (
     NEW_DISK,
     SEEDS,
     VOTERS,
--- a/tests/orchard/replication/orders.py
+++ b/tests/mesh/replication/scripted_replicas.py
@@ -1,8 +1,8 @@
 """Orders of messages by hand, on the explorer's table: shorthand."""
 
-from foxspread.orchard.configuration.items import ROUTE, SERVICE, Item
-from foxspread.orchard.simulation.agreement import Cores
-from foxspread.orchard.simulation.explore import Case, Table, loads
+from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
+from foxspread.mesh.simulation.fleet import Cores
+from foxspread.mesh.simulation.explore import Case, Table, loads
 
 THREE, FIVE = ("a", "b", "c"), ("a", "b", "c", "d", "x")
 
--- a/tests/orchard/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -2,10 +2,10 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import SERVICE, Item
-from foxspread.orchard.replication.copy import row
-from foxspread.orchard.replication.proposer import Proposer
-from foxspread.orchard.replication.acceptor import AHEAD_MOST, DISKS_MOST, Acceptor, Saved
+from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.replication.learner import row
+from foxspread.mesh.replication.proposer import Proposer
+from foxspread.mesh.replication.acceptor import AHEAD_MOST, DISKS_MOST, Acceptor, Saved
 
 
 def service(name: str, version: int = 1, tag: int = 0) -> Item:
--- a/tests/orchard/replication/test_copy.py
+++ b/tests/mesh/replication/test_learner.py
@@ -2,9 +2,9 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import KEPT, REFUSED, ROUTE, SERVICE, Item
-from foxspread.orchard.outcome import Broken
-from foxspread.orchard.replication.copy import NONE, START, Copy, place_of, row, sealed, unrow, whole
+from foxspread.mesh.configuration.items import KEPT, REFUSED, ROUTE, SERVICE, Item
+from foxspread.mesh.errors import Broken
+from foxspread.mesh.replication.learner import NONE, START, Copy, place_of, row, sealed, unrow, whole
 
 LIFE = "w"
 
--- a/tests/orchard/replication/test_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -4,13 +4,13 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.replication.acceptor import Saved, Acceptor
-from foxspread.orchard.simulation.agreement import Cores
-from foxspread.orchard.simulation.broken import CORES
-from foxspread.orchard.simulation.explore import Case, Table, explore, read_from
-from tests.orchard.replication.orders import (
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.replication.acceptor import Saved, Acceptor
+from foxspread.mesh.simulation.fleet import Cores
+from foxspread.mesh.simulation.mutants import CORES
+from foxspread.mesh.simulation.explore import Case, Table, explore, read_from
+from tests.mesh.replication.scripted_replicas import (
     FIVE,
     ORDERS,
     SHOWN_BY,
--- a/tests/orchard/replication/test_contact.py
+++ b/tests/mesh/replication/test_quorum_contact.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from foxspread.orchard.replication.contact import (
+from foxspread.mesh.replication.quorum_contact import (
     ASK_S,
     REPORTS_MOST,
     ROUNDS_MOST,
@@ -14,7 +14,7 @@
     Starts,
     report,
 )
-from foxspread.orchard.replication.members import Members
+from foxspread.mesh.replication.membership import Members
 
 OLD, NEW, NEWER = (3, "a"), (5, "b"), (6, "a")
 THREE = Members(0, ("m1", "m2", "m3"))
--- a/tests/orchard/replication/test_replacement.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -7,12 +7,12 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import LEASE, Item
-from foxspread.orchard.outcome import conflict, unsettled
-from foxspread.orchard.replication import replacement as r
-from foxspread.orchard.replication.contact import Report
-from foxspread.orchard.replication.copy import Copy
-from foxspread.orchard.replication.members import Members, members_of, one_step, quorum
+from foxspread.mesh.configuration.items import LEASE, Item
+from foxspread.mesh.errors import conflict, unsettled
+from foxspread.mesh.replication import reconfiguration as r
+from foxspread.mesh.replication.quorum_contact import Report
+from foxspread.mesh.replication.learner import Copy
+from foxspread.mesh.replication.membership import Members, members_of, one_step, quorum
 
 TICK_S = 0.1
 
--- a/tests/orchard/replication/test_catchup.py
+++ b/tests/mesh/replication/test_snapshot_transfer.py
@@ -7,10 +7,17 @@
 import orjson
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.replication.catchup import ASKED_MOST_S, ASKED_S, CEILING_S, CatchUp, Message, Taken
-from foxspread.orchard.replication.copy import NONE, Copy, place, unrow, whole
-from tests.orchard.replication.test_copy import at, dropped, kept_dropped, names, service, settled
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.replication.snapshot_transfer import (
+    ASKED_MOST_S,
+    ASKED_S,
+    CEILING_S,
+    CatchUp,
+    Message,
+    Taken,
+)
+from foxspread.mesh.replication.learner import NONE, Copy, place, unrow, whole
+from tests.mesh.replication.test_learner import at, dropped, kept_dropped, names, service, settled
 
 CHANGES = [
     [service("a", 1), service("b", 1)],
--- a/tests/orchard/replication/test_disk.py
+++ b/tests/mesh/replication/test_storage.py
@@ -10,10 +10,10 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import KEPT, REFUSED, SERVICE, Item
-from foxspread.orchard.replication.copy import row, unrow
-from foxspread.orchard.replication.disk import FILE, Disk, older
-from foxspread.orchard.replication.acceptor import Saved, Acceptor
+from foxspread.mesh.configuration.items import KEPT, REFUSED, SERVICE, Item
+from foxspread.mesh.replication.learner import row, unrow
+from foxspread.mesh.replication.storage import FILE, Disk, older
+from foxspread.mesh.replication.acceptor import Saved, Acceptor
 
 MEMBERS = ("a", "b", "c")
 
@@ -160,7 +160,7 @@
             error.sqlite_errorcode = sqlite3.SQLITE_FULL
             sealed = mock.Mock(side_effect=[error, (b"1", 0)])
             with mock.patch("time.sleep") as slept:
-                with mock.patch("foxspread.orchard.replication.disk._sealed", sealed):
+                with mock.patch("foxspread.mesh.replication.storage._sealed", sealed):
                     self.assertEqual(1 if first else 2, disk.open(MEMBERS, first).boots)
             self.assertEqual(1, slept.call_count)
             disk.db.close()
--- a/tests/orchard/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -11,7 +11,7 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import (
+from foxspread.mesh.configuration.items import (
     LEASE,
     MEMBERS,
     NO_PAST,
@@ -23,9 +23,9 @@
     place_of,
     services_of,
 )
-from foxspread.orchard.configuration.orders import digest_of_order, judged
-from foxspread.orchard.replication.acceptor import Acceptor, Saved
-from foxspread.orchard.replication.disk import Disk
+from foxspread.mesh.configuration.idempotency import digest_of_order, judged
+from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.storage import Disk
 from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
--- a/tests/orchard/simulation/test_command.py
+++ b/tests/mesh/simulation/test_command.py
@@ -1,9 +1,9 @@
-"""`python -m foxspread.orchard sim`."""
+"""`python -m foxspread.mesh sim`."""
 
 from click.testing import CliRunner
 from testtools import TestCase
 
-from foxspread.orchard.__main__ import main
+from foxspread.mesh.__main__ import main
 
 
 class Command(TestCase):
--- a/tests/orchard/simulation/test_agreement.py
+++ b/tests/mesh/simulation/test_fleet.py
@@ -4,13 +4,13 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import SERVICE, Item
-from foxspread.orchard.simulation.agreement import Fleet, Played, minimised, play
-from foxspread.orchard.simulation.broken import CORES
-from foxspread.orchard.simulation.machines import Cores
-from foxspread.orchard.simulation.plan import FAULTS, Event, Plan, days, drawn
-from foxspread.orchard.simulation.runs import several, traced
-from tests.orchard.replication.orders import SHOWN_BY, route, service
+from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.simulation.fleet import Fleet, Played, minimised, play
+from foxspread.mesh.simulation.mutants import CORES
+from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.schedule import FAULTS, Event, Plan, days, drawn
+from foxspread.mesh.simulation.campaign import several, traced
+from tests.mesh.replication.scripted_replicas import SHOWN_BY, route, service
 
 CAUGHT_BY = {  # what is broken, by which rule and in which day and seed it is caught
     "any ballot is accepted": ("consistent", "short", 1),
--- a/tests/orchard/simulation/test_found.py
+++ b/tests/mesh/simulation/test_found.py
@@ -2,8 +2,8 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.simulation.agreement import play
-from foxspread.orchard.simulation.plan import days
+from foxspread.mesh.simulation.fleet import play
+from foxspread.mesh.simulation.schedule import days
 
 
 class Found(TestCase):
--- a/tests/orchard/simulation/test_judge.py
+++ b/tests/mesh/simulation/test_invariants.py
@@ -2,10 +2,10 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.outcome import conflict, unsettled
-from foxspread.orchard.simulation.judge import BACK_S, FRESH_S, PAST_KEPT, Call, Judge
-from tests.orchard.replication.orders import route, service
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.errors import conflict, unsettled
+from foxspread.mesh.simulation.invariants import BACK_S, FRESH_S, PAST_KEPT, Call, Judge
+from tests.mesh.replication.scripted_replicas import route, service
 
 V1, V2, OTHER = service(version=1), service(version=2), service(version=1, tag=1)
 
--- a/tests/orchard/simulation/test_members.py
+++ b/tests/mesh/simulation/test_members.py
@@ -4,12 +4,12 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import LEASE, MEMBERS, Item
-from foxspread.orchard.replication.members import Members, changed
-from foxspread.orchard.simulation.broken import CORES, InPieces
-from foxspread.orchard.simulation.explore import Case, Table, explore
-from foxspread.orchard.simulation.machines import Cores
-from tests.orchard.replication.orders import THREE, ask, begin, put, route, service, wipe
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item
+from foxspread.mesh.replication.membership import Members, changed
+from foxspread.mesh.simulation.mutants import CORES, InPieces
+from foxspread.mesh.simulation.explore import Case, Table, explore
+from foxspread.mesh.simulation.machines import Cores
+from tests.mesh.replication.scripted_replicas import THREE, ask, begin, put, route, service, wipe
 
 FOUR = ("a", "b", "c", "d")
 ROUTE, SERVICE = route("r", "/p/", "v"), service("v")
--- a/tests/orchard/simulation/test_world.py
+++ b/tests/mesh/simulation/test_world.py
@@ -2,9 +2,9 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.replication.copy import NONE
-from foxspread.orchard.simulation.disks import SimDisk
-from foxspread.orchard.simulation.world import Links, World
+from foxspread.mesh.replication.learner import NONE
+from foxspread.mesh.simulation.disks import SimDisk
+from foxspread.mesh.simulation.world import Links, World
 
 ROW = ["service", "v", 1, {"name": "v"}, 2, "w"]
 
--- a/tests/orchard/test_stand_ins.py
+++ b/tests/mesh/test_emulators.py
@@ -8,14 +8,14 @@
 import orjson
 import testtools
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.dataplane.serving import Desk, Exchange, Limits, Serving
-from foxspread.orchard.settings import Address, shown
-from foxspread.orchard.stand_ins.asking import Reply, asked, written
-from foxspread.orchard.stand_ins.client import judged
-from foxspread.orchard.stand_ins.ledger import Ledger
-from foxspread.orchard.stand_ins.operator import Operator
-from foxspread.orchard.stand_ins.server import Server, Told
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits, Serving
+from foxspread.mesh.settings import Address, shown
+from foxspread.mesh.emulators.http_call import Reply, asked, written
+from foxspread.mesh.emulators.client import judged
+from foxspread.mesh.emulators.event_record import Ledger
+from foxspread.mesh.emulators.operator import Operator
+from foxspread.mesh.emulators.server import Server, Told
 
 PATIENCE_S = 5.0
 
--- a/tests/orchard/test_nursery.py
+++ b/tests/mesh/test_local_cluster.py
@@ -9,9 +9,9 @@
 import testtools
 import uvloop
 
-from foxspread.orchard.nursery.growing import Nursery, pid_of
-from foxspread.orchard.nursery.plot import Plot, laid, read
-from foxspread.orchard.nursery.trial import Figures, Trial
+from foxspread.mesh.local_cluster.supervisor import Nursery, pid_of
+from foxspread.mesh.local_cluster.layout import Plot, laid, read
+from foxspread.mesh.local_cluster.smoke_test import Figures, Trial
 
 MOST_S = 60.0  # far over what it takes
 
@@ -19,7 +19,7 @@
 class Mesh(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.folder = tempfile.mkdtemp(prefix="orchard-test-")
+        self.folder = tempfile.mkdtemp(prefix="mesh-test-")
         net = f"127.{10 + os.getpid() // 250 % 240}.{os.getpid() % 250}"  # of this process alone
         self.plot = laid(self.folder, 3, 2, net)
 
--- a/tests/orchard/test_node.py
+++ b/tests/mesh/test_node.py
@@ -1,7 +1,7 @@
 """One process by itself: what it takes up of its settings file."""
 
 import asyncio
-import copy
+import copy as copy_module
 import io
 import json
 import logging
@@ -14,14 +14,14 @@
 
 import testtools
 
-from foxspread.orchard import log
-from foxspread.orchard.configuration.items import LEASE, MEMBERS, SERVICE, Item
-from foxspread.orchard.node import SETTLED, Node
-from foxspread.orchard.replication.contact import TELL_S, Contact, Report
-from foxspread.orchard.replication.catchup import CatchUp
-from foxspread.orchard.replication.copy import START, Copy, packed_place, row
-from foxspread.orchard.replication.members import Members
-from foxspread.orchard.settings import FILE_VARIABLE, read, taken
+from foxspread.mesh import log
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, SERVICE, Item
+from foxspread.mesh.node import SETTLED, Node
+from foxspread.mesh.replication.quorum_contact import TELL_S, Contact, Report
+from foxspread.mesh.replication.snapshot_transfer import CatchUp
+from foxspread.mesh.replication.learner import START, Copy, packed_place, row
+from foxspread.mesh.replication.membership import Members
+from foxspread.mesh.settings import FILE_VARIABLE, read, taken
 
 FILE = {
     "node": "side-1",
@@ -46,7 +46,7 @@
         log.LOGGER.handlers[:] = [logging.StreamHandler(self.lines)]
 
     def told(self, **changes: object) -> None:
-        self.path.write_text(json.dumps({**copy.deepcopy(FILE), **changes}))
+        self.path.write_text(json.dumps({**copy_module.deepcopy(FILE), **changes}))
 
     def test_a_change_is_taken_up_and_told_once(self) -> None:
         """Also where a key differs for good that a running process does not take up, as first_start does."""
@@ -113,7 +113,8 @@
                 raise TimeoutError
 
             node = Node(
-                taken(copy.deepcopy(FILE)), mock.Mock(time=loop.time, create_connection=create_connection)
+                taken(copy_module.deepcopy(FILE)),
+                mock.Mock(time=loop.time, create_connection=create_connection),
             )
             place = ("127.0.0.2", 7660)
             node.dialling.told(0.0, place)
--- a/tests/orchard/messaging/test_netstrings.py
+++ b/tests/mesh/transport/test_netstrings.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.messaging.netstrings import MOST, PACKED_FROM, Decoder, encode
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.transport.netstrings import MOST, PACKED_FROM, Decoder, encode
 
 MESSAGES = [{"t": "beat"}, {"t": "news", "rows": ["x:,{}1:a,"] * 9}, {"v": "ab" * PACKED_FROM}, {}]
 
--- a/tests/orchard/messaging/test_link.py
+++ b/tests/mesh/transport/test_peer_connection.py
@@ -2,11 +2,11 @@
 
 import testtools
 
-from foxspread.orchard.configuration.items import SERVICE, Item
-from foxspread.orchard.messaging.link import HELD_MOST, Link
-from foxspread.orchard.messaging.netstrings import MOST, Decoder
-from foxspread.orchard.replication.catchup import CatchUp
-from foxspread.orchard.replication.copy import PIECE_BYTES, Copy
+from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.transport.peer_connection import HELD_MOST, Link
+from foxspread.mesh.transport.netstrings import MOST, Decoder
+from foxspread.mesh.replication.snapshot_transfer import CatchUp
+from foxspread.mesh.replication.learner import PIECE_BYTES, Copy
 
 
 class Stuck:
