--- a/bench/catching_up.py
+++ b/bench/catching_up.py
@@ -19,9 +19,9 @@
 from foxspread.mesh.configuration.items import ROUTE, Item
 from foxspread.mesh.transport.netstrings import Decoder, encode
 from foxspread.mesh.replication.acceptor import Acceptor, Saved
-from foxspread.mesh.replication.snapshot_transfer import CatchUp
-from foxspread.mesh.replication.learner import Copy, row, unrow
-from foxspread.mesh.replication.storage import Disk
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
+from foxspread.mesh.replication.learner import Learner, pack_row, unpack_row
+from foxspread.mesh.replication.storage import Storage
 
 CHANGES_A_SECOND = 3
 DELAY_S = 0.001
@@ -41,22 +41,22 @@
     return Item(ROUTE, f"route-{number}", version, {"destination": "portal.example", "rule": rule})
 
 
-def held(items: int) -> Copy:
+def held(items: int) -> Learner:
     """A first call of all of them, and as many changes as there are hundreds."""
-    copy = Copy()
+    copy = Learner()
     copy.fold((1, "life"), [(route(number, 1), (1, "life")) for number in range(items)])
     for number in range(items // 100):
         change(copy, items)
     return copy
 
 
-def change(copy: Copy, items: int) -> None:
+def change(copy: Learner, items: int) -> None:
     at = (copy.upto[0] + 1, "life")
     copy.fold(at, [(route(at[0] * 37 % items, at[0]), at)])
 
 
 def caught_up(items: int, mbit: float) -> str:
-    teller, taker = held(items), CatchUp(Copy(), lambda: 0.5)
+    teller, taker = held(items), SnapshotTransfer(Learner(), lambda: 0.5)
     now = longest = spent_teller = spent_taker = 0.0
     size = pieces = changes = 0
 
@@ -87,7 +87,7 @@
         while changes < now * CHANGES_A_SECOND:
             changes += 1
             change(teller, items)
-        told, spent = timed(CatchUp.answer, teller, message, 0.0, True)
+        told, spent = timed(SnapshotTransfer.answer, teller, message, 0.0, True)
         spent_teller += spent
         now += spent
         told = over(told)
@@ -97,7 +97,7 @@
         pieces += 1
         if taken is not None:
             break
-    _, spent = timed(taker.copy.fold, taken.upto, [unrow(each) for each in taken.rows])
+    _, spent = timed(taker.copy.fold, taken.upto, [unpack_row(each) for each in taken.rows])
     now += spent
     assert taker.copy.items == teller.items
     return (
@@ -111,11 +111,11 @@
     tracemalloc.start()
     copy = held(items)
     own = tracemalloc.get_traced_memory()[0]
-    taker = CatchUp(Copy(), lambda: 0.5)
+    taker = SnapshotTransfer(Learner(), lambda: 0.5)
     taker.told("k", copy.upto)
     staged = 0
     while asked := taker.step(1e9):
-        (told,) = Decoder().feed(encode(CatchUp.answer(copy, asked[0][1], 0.0, True)))
+        (told,) = Decoder().feed(encode(SnapshotTransfer.answer(copy, asked[0][1], 0.0, True)))
         if taker.heard(1e9, "k", told) is not None:
             break
         staged = tracemalloc.get_traced_memory()[0] - own
@@ -126,11 +126,11 @@
 def on_disk(items: int) -> str:
     folder = tempfile.mkdtemp()
     later: queue.Queue = queue.Queue()
-    disk = Disk(folder, later.put)
+    disk = Storage(folder, later.put)
     saved = disk.open(("a", "b", "c"), True)
     disk.start()
     copy = held(items)
-    rows = [row(*each) for each in copy.since((0, ""))]
+    rows = [pack_row(*each) for each in copy.since((0, ""))]
     gaps, last = [], time.perf_counter()
     began = last
     disk.put([*Acceptor("a", saved).first(), ("items", rows), ("meta", "settled", copy.upto)], lambda: None)
@@ -147,7 +147,7 @@
         last = now
     written = time.perf_counter() - began
     disk.db.close()
-    again = Disk(folder, later.put)
+    again = Storage(folder, later.put)
     began = time.perf_counter()
     found: Saved = again.open(("a", "b", "c"), False)
     opened = time.perf_counter() - began
--- a/foxspread/mesh/__main__.py
+++ b/foxspread/mesh/__main__.py
@@ -11,7 +11,7 @@
 import click
 
 if TYPE_CHECKING:
-    from foxspread.mesh.local_cluster.layout import Plot
+    from foxspread.mesh.local_cluster.layout import Layout
     from foxspread.mesh.local_cluster.smoke_test import Figures
 
 HOLLOW_MOST = 3000  # sidecars: more do not fit one machine
@@ -57,24 +57,27 @@
     """Run the whole mesh on loopback addresses, in the foreground, until ^C or SIGTERM."""
     import uvloop
 
-    from foxspread.mesh.local_cluster.layout import PlotError, laid
+    from foxspread.mesh.local_cluster.layout import LayoutError, create_layout
     from foxspread.mesh.emulators.server import shares
 
     try:
-        plot, found = laid(folder or tempfile.mkdtemp(prefix="mesh-"), core, side, net), shares(faults)
+        plot, found = (
+            create_layout(folder or tempfile.mkdtemp(prefix="mesh-"), core, side, net),
+            shares(faults),
+        )
         uvloop.run(kept_up(plot, found))
     except ValueError as error:
         raise click.UsageError(str(error)) from None
-    except PlotError as error:
+    except LayoutError as error:
         raise click.ClickException(str(error)) from None
 
 
-async def kept_up(plot: "Plot", faults: dict[str, float]) -> None:
+async def kept_up(plot: "Layout", faults: dict[str, float]) -> None:
     """Until a signal; a second one ends it at once."""
-    from foxspread.mesh.local_cluster.supervisor import Nursery
+    from foxspread.mesh.local_cluster.supervisor import Supervisor
 
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
-    nursery = Nursery(plot, click.echo, faults)
+    nursery = Supervisor(plot, click.echo, faults)
 
     def ended() -> None:
         if stop.is_set():
@@ -88,15 +91,18 @@
     await nursery.run(stop, lambda: click.echo(where(plot)))
 
 
-def where(plot: "Plot") -> str:
+def where(plot: "Layout") -> str:
     """What is where, as a table."""
     from foxspread.mesh.local_cluster.layout import SIDE
-    from foxspread.mesh.settings import shown
+    from foxspread.mesh.settings import format_address
 
     rows = [("NODE", "ZONE", "CONTROL", "OUTBOUND", "SERVER")]
     for each in plot.machines:
         side = each.kind == SIDE
-        control, outbound = shown(each.place("control")), shown(each.place("outbound")) if side else "-"
+        control, outbound = (
+            format_address(each.place("control")),
+            format_address(each.place("outbound")) if side else "-",
+        )
         rows.append((each.node, each.zone, control, outbound, each.service if side else "-"))
     widths = [max(len(row[n]) for row in rows) for n in range(5)]
     lines = ["  ".join(text.ljust(width) for text, width in zip(row, widths)).rstrip() for row in rows]
@@ -119,11 +125,11 @@
     """
     import uvloop
 
-    from foxspread.mesh.local_cluster.layout import PlotError
+    from foxspread.mesh.local_cluster.layout import LayoutError
 
     try:
         figures = uvloop.run(tried(folder, requests))
-    except PlotError as error:
+    except LayoutError as error:
         raise click.ClickException(str(error)) from None
     click.echo("\n".join(figures.lines()))
     sys.exit(0 if figures.good else 1)
@@ -131,9 +137,9 @@
 
 async def tried(folder: str, requests: int) -> "Figures":
     from foxspread.mesh.local_cluster.layout import read
-    from foxspread.mesh.local_cluster.smoke_test import Trial
+    from foxspread.mesh.local_cluster.smoke_test import SmokeTest
 
-    return await Trial(read(folder), click.echo).run(requests)
+    return await SmokeTest(read(folder), click.echo).run(requests)
 
 
 def _seeds(context: click.Context, option: click.Option, text: str) -> range:
--- a/foxspread/mesh/configuration/idempotency.py
+++ b/foxspread/mesh/configuration/idempotency.py
@@ -24,7 +24,7 @@
     Past,
     consistent,
 )
-from foxspread.mesh.errors import Failure, conflict, unsettled
+from foxspread.mesh.errors import Failure, conflict, outcome_unknown
 
 PAST_MOST = 32  # lower versions of an item that are told apart; below them nothing is confirmed nor refused
 REFUSED_MOST = 4096  # orders known to be refused; with more, a refusal has to wait
@@ -55,13 +55,13 @@
     return _digest(item.content)
 
 
-def digest_of_order(items: Iterable[Item]) -> str:
+def digest_of_change(items: Iterable[Item]) -> str:
     """Whatever the order in which its items stand; copies of an order are alike to the byte but for that."""
     rows = sorted((each.packed()[:4] for each in items), key=lambda row: row[:3])
     return blake2b(orjson.dumps(rows, option=orjson.OPT_SORT_KEYS), digest_size=10).hexdigest()
 
 
-def overtaken(there: Item) -> Past:
+def is_superseded(there: Item) -> Past:
     """What the next version of an item remembers of this one, and of those before."""
     return _noted(there.past, there.version, digest(there))
 
@@ -75,7 +75,7 @@
     return floor, tuple(rows)
 
 
-def merged(held: Mapping[Key, Item], order: Iterable[Item]) -> dict[Key, Item] | Failure:
+def merge(held: Mapping[Key, Item], order: Iterable[Item]) -> dict[Key, Item] | Failure:
     """What an order changes: items that are newer, and items that are to remember that an older version of
     theirs was confirmed. A failure where another content was confirmed under a number (for good), or where it
     can't be known any more (no clear answer)."""
@@ -88,17 +88,21 @@
             newer[item.key] = item
         elif there is None:
             if item.version <= _floor_of_dropped(held):
-                return unsettled(f"{item.kind} {item.name}: what held up to r{item.version} is not known")
+                return outcome_unknown(
+                    f"{item.kind} {item.name}: what held up to r{item.version} is not known"
+                )
             newer[item.key] = item
         elif item.version > there.version:
-            newer[item.key] = replace(item, past=overtaken(there))
+            newer[item.key] = replace(item, past=is_superseded(there))
         elif item.version == there.version:
             if item.content != there.content:
                 return conflict(f"{item.kind} {item.name}: r{item.version} holds another content")
         else:
             floor, known = there.past
             if item.version <= floor:
-                return unsettled(f"{item.kind} {item.name}: what r{item.version} held is not known any more")
+                return outcome_unknown(
+                    f"{item.kind} {item.name}: what r{item.version} held is not known any more"
+                )
             before, what = dict(known).get(item.version), digest(item)
             if before is None:
                 newer[item.key] = replace(there, past=_noted(there.past, item.version, what))
@@ -112,7 +116,7 @@
     return kept.content["floor"] if kept is not None else 0
 
 
-def judged(
+def apply_change(
     held: Mapping[Key, Item], order: list[Item], named: str, clock: float
 ) -> tuple[dict[Key, Item], bool | Failure]:
     """What is to be settled for an order, and what its operator is told once it is. `named`: its digest;
@@ -120,7 +124,7 @@
     if (refused := held.get((REFUSED, named))) is not None:
         status, reason, _ = refused.content
         return {}, Failure(reason, status)
-    newer = merged(held, order)
+    newer = merge(held, order)
     if isinstance(newer, Failure):
         return {}, newer
     theirs = {key: item for key, item in newer.items() if item.kind in THEIRS}
@@ -149,11 +153,11 @@
         rows[KEPT, REFUSED] = Item(KEPT, REFUSED, version, {"t": round(least, 3)})
         known = [t for t in known if t >= least]
     if len(known) >= REFUSED_MOST:
-        return unsettled("too many orders were refused within the last hour to remember another")
+        return outcome_unknown("too many orders were refused within the last hour to remember another")
     return rows
 
 
-def collected(held: Mapping[Key, Item], at: Mapping[Key, tuple]) -> dict[Key, Item]:
+def collectable(held: Mapping[Key, Item], at: Mapping[Key, tuple]) -> dict[Key, Item]:
     """The item by which the oldest of too many dropped items are forgotten; `at`: by key, the ballot at which
     each changed. Below its floor an unknown name is neither confirmed nor refused any more."""
     dropped = [item for item in held.values() if item.kind in THEIRS and item.content is None]
--- a/foxspread/mesh/configuration/items.py
+++ b/foxspread/mesh/configuration/items.py
@@ -40,7 +40,7 @@
         return row if self.past == NO_PAST else [*row, self.past]
 
 
-def unpacked(row: list) -> Item:
+def unpack_item(row: list) -> Item:
     past = row[4] if len(row) > 4 else NO_PAST
     return Item(*row[:4], (past[0], tuple((version, digest) for version, digest in past[1])))
 
--- a/foxspread/mesh/configuration/validation.py
+++ b/foxspread/mesh/configuration/validation.py
@@ -82,7 +82,7 @@
 }
 
 
-def told(errors: dict, data: Any) -> str:
+def describe_errors(errors: dict, data: Any) -> str:
     """The first of cerberus's errors, as a path of keys, the value there and what is wrong with it."""
     path, found = [], data
     while isinstance(errors, dict) and errors:
@@ -113,7 +113,7 @@
     return int(VERSION.fullmatch(text)[1])
 
 
-def read(body: bytes) -> Iterator[Item | Failure | None]:
+def parse_call(body: bytes) -> Iterator[Item | Failure | None]:
     """The items of a call, one a step, with a None now and then where others may go first; a failure is the
     last step."""
     try:
@@ -197,7 +197,7 @@
         return invalid(f"{where}: {str(found)[:80]}: must be an object")
     validator = _checks[check]
     if not validator.validate(found, normalize=False):
-        return invalid(f"{where} {found.get('name', '')}: {told(validator.errors, found)}")
+        return invalid(f"{where} {found.get('name', '')}: {describe_errors(validator.errors, found)}")
     return make(found)
 
 
--- a/foxspread/mesh/control_api/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -5,20 +5,20 @@
 
 from foxspread.mesh.control_api.handlers import Elsewhere
 from foxspread.mesh.configuration.items import Item, laid_out
-from foxspread.mesh.log import say
-from foxspread.mesh.errors import Failure, unsettled
-from foxspread.mesh.replication.replica_server import Keeper
+from foxspread.mesh.log import log_event
+from foxspread.mesh.errors import Failure, outcome_unknown
+from foxspread.mesh.replication.replica_server import ReplicaServer
 
 STOOD_STILL = "this process stood still: the call may be an old copy"
 
 
-class Configuration:
+class ConfigurationResource:
     """On a machine with a disk it settles calls; elsewhere it names one that does. `stale`: whether what is
     read now may have been sent long ago, by a caller that has gone elsewhere since; nothing comes of it."""
 
     def __init__(
         self,
-        keeper: Keeper | None,
+        keeper: ReplicaServer | None,
         elsewhere: Callable[[], str | None],
         stale: Callable[[], bool] = lambda: False,
     ) -> None:
@@ -28,24 +28,24 @@
         if self.keeper is None:
             return self._on("Config.Patch")
         if self.stale():
-            return unsettled(STOOD_STILL)
+            return outcome_unknown(STOOD_STILL)
         from foxspread.mesh.configuration.validation import (
-            read,
+            parse_call,
         )  # and with it cerberus: not for sidecars without a disk
 
         items: list[Item] = []
-        for step in read(body):  # in slices: a large call must not hold up what else comes
+        for step in parse_call(body):  # in slices: a large call must not hold up what else comes
             if isinstance(step, Failure):
-                say("config_refused", why=step.reason)
+                log_event("config_refused", why=step.reason)
                 return step
             if step is None:
                 await asyncio.sleep(0)
             else:
                 items.append(step)
         if self.stale():
-            return unsettled(STOOD_STILL)
+            return outcome_unknown(STOOD_STILL)
         outcome = await self.keeper.submit(items)
-        say(
+        log_event(
             "config",
             items=len(items),
             outcome="settled" if outcome is True else outcome.reason,
@@ -57,12 +57,14 @@
         if self.keeper is None:
             return self._on("Config.Get")
         if self.stale():
-            return unsettled(STOOD_STILL)
+            return outcome_unknown(STOOD_STILL)
         outcome = await self.keeper.submit([])
         return laid_out(self.keeper.acceptor.copy.items.values()) if outcome is True else outcome
 
     def _on(self, call: str) -> Failure | Elsewhere:
         place = self.elsewhere()
         return (
-            Elsewhere(f"http://{place}/api/{call}") if place else unsettled("no machine with a disk is known")
+            Elsewhere(f"http://{place}/api/{call}")
+            if place
+            else outcome_unknown("no machine with a disk is known")
         )
--- a/foxspread/mesh/control_api/handlers.py
+++ b/foxspread/mesh/control_api/handlers.py
@@ -9,7 +9,7 @@
 import orjson
 
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
-from foxspread.mesh.log import say
+from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure
 
 # Bytes of a call: 16,000 routes. What JSON of that size may become in memory, 27 times as much at the worst,
@@ -27,7 +27,7 @@
         self.location = location
 
 
-class ControlDesk(Desk):
+class ControlApi(Desk):
     def __init__(self, clock: Callable[[], float], resources: dict[str, object]) -> None:
         super().__init__(clock, Limits(16 * 1024, ORDER_MOST, 5.0, 30.0))
         self.resources = resources
@@ -55,7 +55,7 @@
         try:
             answer = await call(id, bytes(exchange.message.body))
         except Exception as error:
-            say("call_fault", target=exchange.message.target.decode("latin-1"), fault=repr(error))
+            log_event("call_fault", target=exchange.message.target.decode("latin-1"), fault=repr(error))
             exchange.answer(500, b'{"error":"a fault of ours"}', [JSON])  # the caller goes elsewhere
             raise
         if isinstance(answer, Failure):
@@ -66,7 +66,7 @@
             exchange.answer(200, orjson.dumps(answer), [JSON])
 
 
-class ReadyDesk(Desk):
+class ReadinessApi(Desk):
     """The platform's question, once a second."""
 
     def __init__(self, clock: Callable[[], float], ready: Callable[[], bool]) -> None:
--- a/foxspread/mesh/control_api/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -4,29 +4,38 @@
 
 import orjson
 
-from foxspread.mesh.registry.incarnations import DRAINING, READY, Lives
-from foxspread.mesh.log import say
+from foxspread.mesh.registry.incarnations import DRAINING, READY, InstanceTable
+from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.schema import COUNT, NEEDED_TEXT, TEXT, Want, faulty, number, place, whole
+from foxspread.mesh.schema import (
+    COUNT,
+    NEEDED_TEXT,
+    TEXT,
+    FieldRule,
+    first_fault,
+    is_number,
+    is_address,
+    is_integer,
+)
 
 BEAT = {
     "service": NEEDED_TEXT,
-    "address": Want(place, "host:port", True),
+    "address": FieldRule(is_address, "host:port", True),
     "zone": TEXT,
     "berths": COUNT,
-    "state": Want(lambda each: each in (READY, DRAINING), f"{READY} or {DRAINING}", True),
-    "cold_s_time": Want(lambda each: number(each, float("-inf")), "seconds"),
-    "sequence": Want(lambda each: whole(each, -(2**63)), "a whole number", True),
+    "state": FieldRule(lambda each: each in (READY, DRAINING), f"{READY} or {DRAINING}", True),
+    "cold_s_time": FieldRule(lambda each: is_number(each, float("-inf")), "seconds"),
+    "sequence": FieldRule(lambda each: is_integer(each, -(2**63)), "a whole number", True),
 }
 
 
-class Instances:
+class InstancesResource:
     """`changed` makes known what changed; `spread` waits until others know it, and says whether they do."""
 
     def __init__(
         self,
         clock: Callable[[], float],
-        lives: Lives,
+        lives: InstanceTable,
         changed: Callable[[], None],
         spread: Callable[[], Awaitable[bool]],
     ) -> None:
@@ -39,13 +48,15 @@
             return Failure(f"the body can't be read: {error}")
         if not id:
             return Failure("wants an id in its path")
-        if (fault := faulty(beat, BEAT)) is not None:
+        if (fault := first_fault(beat, BEAT)) is not None:
             return Failure(fault)
         news = self.lives.beat(self.clock(), id, beat)
         if isinstance(news, Failure):
             return news
         if news:
-            say("server", id=id, service=beat["service"], state=beat["state"], sequence=beat["sequence"])
+            log_event(
+                "server", id=id, service=beat["service"], state=beat["state"], sequence=beat["sequence"]
+            )
             self.changed()
         if beat["state"] == DRAINING and not await self.spread():
             return Failure("nobody else could be told yet", 503)
@@ -53,6 +64,6 @@
 
     async def post_leave(self, id: str, body: bytes) -> dict | Failure:
         if self.lives.leave(self.clock(), id):
-            say("server", id=id, state="left")
+            log_event("server", id=id, state="left")
             self.changed()
         return {}
--- a/foxspread/mesh/control_api/readiness.py
+++ b/foxspread/mesh/control_api/readiness.py
@@ -49,7 +49,7 @@
         return holds and self.based
 
 
-class Standstill:
+class PauseDetector:
     """Notices that this process stood still: frozen, or held up."""
 
     def __init__(self, now: float, tick: float) -> None:
--- a/foxspread/mesh/dataplane/caller.py
+++ b/foxspread/mesh/dataplane/caller.py
@@ -14,7 +14,7 @@
 from foxspread.mesh.dataplane.lasthop import Terms
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
 from foxspread.mesh.configuration.routes import RouteTable
-from foxspread.mesh.log import say
+from foxspread.mesh.log import log_event
 
 CALLER_LINES_MOST = 1000  # connections of clients
 REFUSED_BY_SERVER = ("refused", "silent", "gone")  # why nothing was handed over: the server's own doing
@@ -217,13 +217,13 @@
     def tell(self) -> None:
         """What went wrong since the last time: a line a route and reason."""
         for (route, server, outcome, status), times in self.tries.items():
-            say("tries", route=route, server=server, outcome=outcome, status=status, times=times)
+            log_event("tries", route=route, server=server, outcome=outcome, status=status, times=times)
         self.tries.clear()
         for (route, status, why), times in self.counts.items():
-            say("unserved", route=route, status=status, why=why, times=times)
+            log_event("unserved", route=route, status=status, why=why, times=times)
         self.counts.clear()
         for (status, why), times in self.refusals.items():
-            say("unread", status=status, why=why, times=times)
+            log_event("unread", status=status, why=why, times=times)
         self.refusals.clear()
 
     def take(self, exchange: Exchange) -> None:
--- a/foxspread/mesh/dataplane/lasthop.py
+++ b/foxspread/mesh/dataplane/lasthop.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 
 from foxspread.mesh.budget.runs import Runs
-from foxspread.mesh.registry.incarnations import DRAINING, GONE, Lives
+from foxspread.mesh.registry.incarnations import DRAINING, GONE, InstanceTable
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.settings import Address, address
+from foxspread.mesh.settings import Address, parse_address
 from foxspread.sums import Mean
 
 DRAIN_PART = 0.6  # of `drain_s`, for which requests under way to a draining server are still let through
@@ -42,7 +42,7 @@
 
 
 class LastHop:
-    def __init__(self, lives: Lives, app: Address | None, drain_s: float) -> None:
+    def __init__(self, lives: InstanceTable, app: Address | None, drain_s: float) -> None:
         self.lives, self.app, self.drain_s = lives, app, drain_s
         self.holding: dict[str, Holding] = {}
         self.runs = Runs()
@@ -79,7 +79,7 @@
         if left <= 0.0 or wait + 0.3 * mean > left:
             return Failure("late")
         holding.busy += 1
-        return self.app if self.app is not None else address(server.address)
+        return self.app if self.app is not None else parse_address(server.address)
 
     def released(self, now: float, id: str, took: float | None) -> None:
         """`took`: seconds until its answer came; None where none did."""
--- a/foxspread/mesh/emulators/client.py
+++ b/foxspread/mesh/emulators/client.py
@@ -10,9 +10,9 @@
 
 from foxspread.net import http
 from foxspread.mesh.dataplane.lanes import Lanes
-from foxspread.mesh.settings import Address, shown
-from foxspread.mesh.emulators.http_call import Reply, asked, written
-from foxspread.mesh.emulators.event_record import Ledger
+from foxspread.mesh.settings import Address, format_address
+from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
+from foxspread.mesh.emulators.event_record import EventRecord
 
 PROMISES = (408, 421, 429, 503)  # it has not run and never will
 FINAL = (400, 401, 404, 413, 431)
@@ -52,10 +52,10 @@
 
 class Client:
     def __init__(
-        self, name: str, outbound: Address, ready: Address, lanes: Lanes, ledger: Ledger | None = None
+        self, name: str, outbound: Address, ready: Address, lanes: Lanes, ledger: EventRecord | None = None
     ) -> None:
         self.name, self.outbound, self.ready_at, self.lanes = name, outbound, ready, lanes
-        self.ledger = ledger or Ledger()
+        self.ledger = ledger or EventRecord()
         self.misses = 0
         self.ended: list[Answered] = []
 
@@ -65,7 +65,7 @@
 
     async def look(self) -> bool:
         """The platform's question: is the sidecar ready?"""
-        parts = written("GET", "/api/ready", shown(self.ready_at))
+        parts = encode_request("GET", "/api/ready", format_address(self.ready_at))
         reply = await asked(self.lanes, self.ready_at, parts, 1.0)
         self.misses = 0 if reply.status == 200 else self.misses + 1
         return reply.status == 200
@@ -111,7 +111,7 @@
         it.ids.append(os.urandom(8).hex())
         lines = [f"X-Request-Id: {it.ids[-1]}", f"X-Deadline-Ms: {max(1, int(left * 1000))}"]
         method, body = ("GET", b"") if it.way.safe else ("POST", it.ids[-1].encode())
-        parts = written(method, it.way.path, it.way.host, lines, body)
+        parts = encode_request(method, it.way.path, it.way.host, lines, body)
         return await asked(self.lanes, self.outbound, parts, left, fresh)
 
 
--- a/foxspread/mesh/emulators/event_record.py
+++ b/foxspread/mesh/emulators/event_record.py
@@ -11,7 +11,7 @@
 Row = dict[str, Any]
 
 
-class Ledger:
+class EventRecord:
     def __init__(self, path: str | None = None) -> None:
         self.rows: list[Row] = []  # where there is no file
         self.file: TextIO | None = open(path, "a", buffering=1) if path else None
--- a/foxspread/mesh/emulators/http_call.py
+++ b/foxspread/mesh/emulators/http_call.py
@@ -24,7 +24,9 @@
         return self.message.status if self.message is not None else 0
 
 
-def written(method: str, target: str, host: str, lines: Sequence[str] = (), body: bytes = b"") -> list[bytes]:
+def encode_request(
+    method: str, target: str, host: str, lines: Sequence[str] = (), body: bytes = b""
+) -> list[bytes]:
     length = [f"Content-Length: {len(body)}"] if body or method == "POST" else []
     head = [f"{method} {target} HTTP/1.1", f"Host: {host}", *lines, *length]
     return ["".join(f"{line}\r\n" for line in head).encode() + b"\r\n", body]
--- a/foxspread/mesh/emulators/operator.py
+++ b/foxspread/mesh/emulators/operator.py
@@ -8,9 +8,9 @@
 import orjson
 
 from foxspread.mesh.dataplane.lanes import Lanes
-from foxspread.mesh.settings import Address, address, shown
-from foxspread.mesh.emulators.http_call import Reply, asked, written
-from foxspread.mesh.emulators.event_record import Ledger
+from foxspread.mesh.settings import Address, parse_address, format_address
+from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
+from foxspread.mesh.emulators.event_record import EventRecord
 
 PATIENCE_S = 1.0  # of silence, after which it goes on to the next address
 PAUSE_S, PAUSE_MOST_S = 0.05, 1.0  # between askings, doubling
@@ -34,8 +34,8 @@
 
 
 class Operator:
-    def __init__(self, places: Sequence[Address], lanes: Lanes, ledger: Ledger | None = None) -> None:
-        self.places, self.lanes, self.ledger = list(places), lanes, ledger or Ledger()
+    def __init__(self, places: Sequence[Address], lanes: Lanes, ledger: EventRecord | None = None) -> None:
+        self.places, self.lanes, self.ledger = list(places), lanes, ledger or EventRecord()
         self.turn = 0  # the next address to ask
 
     async def patch(self, call: dict[str, Any], within: float = 30.0) -> Outcome:
@@ -67,17 +67,23 @@
     async def _ask(self, place: Address, method: str, target: str, body: bytes) -> Reply:
         """Follows answers 307."""
         for followed in range(FOLLOWED_MOST + 1):
-            parts = written(method, target, shown(place), ["Content-Type: application/json"], body)
+            parts = encode_request(
+                method, target, format_address(place), ["Content-Type: application/json"], body
+            )
             reply = await asked(self.lanes, place, parts, PATIENCE_S + len(body) / 1e6)
             self.ledger.add(
-                "call", call=f"{method} {target}", place=shown(place), status=reply.status, why=reply.why
+                "call",
+                call=f"{method} {target}",
+                place=format_address(place),
+                status=reply.status,
+                why=reply.why,
             )
             if reply.status != 307 or followed == FOLLOWED_MOST:
                 return reply
             where = reply.message.text(b"location").removeprefix("http://")
             host, slash, path = where.partition("/")
             try:
-                place, target = address(host), slash + path
+                place, target = parse_address(host), slash + path
             except ValueError:
                 return reply
         raise AssertionError("the last round returns")
--- a/foxspread/mesh/emulators/server.py
+++ b/foxspread/mesh/emulators/server.py
@@ -27,9 +27,9 @@
 from foxspread.mesh.dataplane.lanes import Lanes
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits, Serving
 from foxspread.mesh.registry.incarnations import DRAINING, READY
-from foxspread.mesh.settings import Address, address, shown
-from foxspread.mesh.emulators.http_call import asked, written
-from foxspread.mesh.emulators.event_record import Ledger
+from foxspread.mesh.settings import Address, parse_address, format_address
+from foxspread.mesh.emulators.http_call import asked, encode_request
+from foxspread.mesh.emulators.event_record import EventRecord
 from foxspread.sums import Chance
 
 FAULTS = ("lose_answer", "cut_answer", "garble", "extra_answer", "slow", "hang", "crash")
@@ -113,7 +113,9 @@
 
 
 class Server(Desk):
-    def __init__(self, told: Told, ledger: Ledger, crash: Callable[[], None] = lambda: os._exit(70)) -> None:
+    def __init__(
+        self, told: Told, ledger: EventRecord, crash: Callable[[], None] = lambda: os._exit(70)
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         super().__init__(self.loop.time, Limits(idle_s=IDLE_S))
         self.told, self.ledger, self.crash = told, ledger, crash
@@ -124,7 +126,7 @@
         self.next_faults: deque[str] = deque()  # of the next requests, before any by chance
         self.running: set[Job] = set()
         self.queue: deque[Job] = deque()
-        self.control = address(told.control)
+        self.control = parse_address(told.control)
         self.report_to: Address | None = None
         self.lanes = Lanes(self.clock, 10.0)
         self.listening: asyncio.Server | None = None
@@ -267,7 +269,7 @@
     # Its life.
 
     async def start(self) -> None:
-        self.listening = await self.loop.create_server(lambda: Line(self), *address(self.told.address))
+        self.listening = await self.loop.create_server(lambda: Line(self), *parse_address(self.told.address))
         self.beating = self.loop.create_task(self._beat())
 
     async def _beat(self) -> None:
@@ -295,7 +297,9 @@
     async def _call(self, verb: str, body: bytes) -> bool:
         for place in dict.fromkeys(each for each in (self.report_to, self.control) if each is not None):
             target = f"/api/Instances.{verb}/{self.id}"
-            parts = written("POST", target, shown(place), ["Content-Type: application/json"], body)
+            parts = encode_request(
+                "POST", target, format_address(place), ["Content-Type: application/json"], body
+            )
             reply = await asked(self.lanes, place, parts, BEAT_PATIENCE_S)
             good = 200 <= reply.status < 300 and len(reply.message.body) <= BEAT_MOST
             self.ledger.add(
@@ -314,7 +318,7 @@
 
     def _report(self, body: bytes) -> None:
         try:
-            self.report_to = address(orjson.loads(body)["report_to"])
+            self.report_to = parse_address(orjson.loads(body)["report_to"])
         except (ValueError, KeyError, TypeError, AttributeError):
             pass  # no other place is named
 
@@ -342,7 +346,7 @@
 
 
 async def run(settings: Told) -> None:
-    done, ledger = asyncio.Event(), Ledger(settings.ledger)
+    done, ledger = asyncio.Event(), EventRecord(settings.ledger)
     server = Server(settings, ledger)
     for number in (signal.SIGTERM, signal.SIGINT):
         server.loop.add_signal_handler(number, done.set)
--- a/foxspread/mesh/errors.py
+++ b/foxspread/mesh/errors.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 
-class Broken(Exception):
+class InvariantViolation(Exception):
     """An invariant does not hold: going on could do harm, so the process ends."""
 
 
@@ -30,6 +30,6 @@
     return Failure(reason, 409)
 
 
-def unsettled(reason: str) -> Failure:
+def outcome_unknown(reason: str) -> Failure:
     """Not known whether it came about: the caller asks again, here or elsewhere."""
     return Failure(reason, 503)
--- a/foxspread/mesh/event_log.py
+++ b/foxspread/mesh/event_log.py
@@ -17,7 +17,7 @@
     body: Any
 
 
-class Journal:
+class EventLog:
     def __init__(self, clock: Callable[[], float], kept: int = 512) -> None:
         self.clock, self.count = clock, 0
         self.tail: deque[Event] = deque(maxlen=kept)
--- a/foxspread/mesh/gossip/anti_entropy.py
+++ b/foxspread/mesh/gossip/anti_entropy.py
@@ -26,13 +26,13 @@
 
 
 @dataclass
-class Asked:
+class PendingPull:
     version: Version
     until: float
     of: set[Hashable]  # in turn, since one of them last gave it
 
 
-class Exchange:
+class AntiEntropy:
     def __init__(self, tells: Callable[[Hashable, str], bool] = lambda peer, source: True) -> None:
         """`tells`: of which sources versions are told to that neighbour unasked."""
         self.tells = tells
@@ -42,7 +42,7 @@
         self.peers: dict[Hashable, Peer] = {}
         self.came = 0  # neighbours, counted
         self.newer: dict[str, dict[Hashable, Version]] = {}  # by source: neighbours that have it newer
-        self.asked: dict[str, Asked] = {}  # by source: what is under way
+        self.asked: dict[str, PendingPull] = {}  # by source: what is under way
         self.dirty: set[str] = set()
 
     def met(self, peer: Hashable) -> None:
@@ -125,7 +125,7 @@
         for source, versions in self.newer.items():
             newest, under_way = max(versions.values()), self.asked.get(source)
             if under_way is None or under_way.version < newest:
-                under_way = Asked(newest, 0.0, set())
+                under_way = PendingPull(newest, 0.0, set())
             elif now < under_way.until:
                 continue
             if under_way.of >= versions.keys():
@@ -134,7 +134,7 @@
                 (each for each in versions if each not in under_way.of),
                 key=lambda each: (versions[each], -self.peers[each].number),
             )
-            self.asked[source] = Asked(newest, now + ASKED_S, under_way.of | {name})
+            self.asked[source] = PendingPull(newest, now + ASKED_S, under_way.of | {name})
             rows.setdefault(name, {})[source] = self.mine.get(source, ())
         return list(rows.items())
 
--- a/foxspread/mesh/gossip/connection_manager.py
+++ b/foxspread/mesh/gossip/connection_manager.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class KnownAddress:
     order: float  # by chance: which of many a sidecar prefers
     since: float  # when it was first heard of, or last answered
     name: str = ""  # who is there, while a link stands
@@ -42,14 +42,14 @@
     calling: bool = False
 
 
-class Dialling:
+class ConnectionManager:
     def __init__(
         self, now: float, own: Address, keeps: bool, seeds: Iterable[Address], draw: Callable[[], float]
     ) -> None:
         self.own, self.keeps, self.draw = own, keeps, draw
         self.seeds: frozenset[Address] = frozenset()
         self.members: frozenset[Address] = frozenset()
-        self.of: dict[Address, Place] = {}
+        self.of: dict[Address, KnownAddress] = {}
         self.next_change, self.changes = now + CHANGE_S, 0
         self.seeded(now, seeds)
 
@@ -77,7 +77,7 @@
                 if not unlinked:
                     return
                 del self.of[min(unlinked, key=lambda each: (self.of[each].since, each))]
-        self.of[place] = Place(self.draw(), now)
+        self.of[place] = KnownAddress(self.draw(), now)
 
     @property
     def lasting(self) -> frozenset[Address]:
@@ -191,7 +191,7 @@
         return now - there.since >= HIGHER_S
 
 
-class Leaning:
+class NeighbourFallback:
     """Where no keeper in contact can be reached, a few sidecars are asked for news until one can."""
 
     def __init__(self, now: float) -> None:
--- a/foxspread/mesh/gossip/partial_view.py
+++ b/foxspread/mesh/gossip/partial_view.py
@@ -27,12 +27,12 @@
         return [self.node, list(self.place), self.keeps, self.age]
 
 
-def neighbour(row: list) -> Neighbour:
+def unpack_neighbour(row: list) -> Neighbour:
     node, place, keeps, age = row
     return Neighbour(str(node), (str(place[0]), int(place[1])), bool(keeps), int(age))
 
 
-class View:
+class PartialView:
     def __init__(self, me: Neighbour, draw: Callable[[], float]) -> None:
         self.me, self.draw = me, draw
         self.of: dict[str, Neighbour] = {}
@@ -65,7 +65,7 @@
 
     def heard(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A shuffle of another, or the answer to ours; returns what to answer."""
-        told = [neighbour(row) for row in message["view"]]
+        told = [unpack_neighbour(row) for row in message["view"]]
         if message["t"] == "shuffled":
             self._put(told, self.given.pop(message["node"], []))
             return None
--- a/foxspread/mesh/health/upstreams.py
+++ b/foxspread/mesh/health/upstreams.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from foxspread.mesh.registry.incarnations import READY
-from foxspread.mesh.registry.endpoint_records import UP, Records
+from foxspread.mesh.registry.endpoint_records import UP, EndpointRecords
 from foxspread.mesh.settings import Address
 from foxspread.rings import Ring
 from foxspread.sums import Mean
@@ -54,7 +54,7 @@
 class Upstreams:
     """A view of the records."""
 
-    def __init__(self, records: Records) -> None:
+    def __init__(self, records: EndpointRecords) -> None:
         self.records = records
         self.services: dict[str, Service] = {}
         self.of_node: dict[str, set[tuple[str, str]]] = {}
--- a/foxspread/mesh/hollow/experiment.py
+++ b/foxspread/mesh/hollow/experiment.py
@@ -25,8 +25,8 @@
     INNER,
     PORTS,
     Machine,
-    Plot,
-    PlotError,
+    Layout,
+    LayoutError,
     settings,
     written,
 )
@@ -101,7 +101,7 @@
             self.process.stdin.write(orjson.dumps({"do": what, **told}) + b"\n")
             line = await self.process.stdout.readline()
         if not line:
-            raise PlotError(f"hollow sidecars ended: see {self.folder}")
+            raise LayoutError(f"hollow sidecars ended: see {self.folder}")
         return orjson.loads(line)
 
     async def end(self) -> None:
@@ -116,7 +116,7 @@
             await self.process.wait()
 
 
-def sidecars(shape: Shape, plot: Plot, count: int) -> list[dict[str, dict[str, Any]]]:
+def sidecars(shape: Shape, plot: Layout, count: int) -> list[dict[str, dict[str, Any]]]:
     """Their settings by node, process by process: spread over zones and services, an address each."""
     told = settings(plot, plot.machines[0], first=False)
     rows: dict[str, dict[str, Any]] = {}
@@ -146,8 +146,8 @@
     return f"zone-{number % shape.zones}"
 
 
-def keepers(shape: Shape, folder: pathlib.Path) -> Plot:
-    return Plot(
+def keepers(shape: Shape, folder: pathlib.Path) -> Layout:
+    return Layout(
         folder,
         tuple(
             Machine(f"core-{n + 1}", CORE, f"{shape.net}.0.{n + 1}", zone(shape, n))
@@ -290,7 +290,7 @@
             await child.start()
         outcome = await self.operator.patch(configuration(self.shape), STEP_S)
         if not outcome:
-            raise PlotError(f"the first configuration: {outcome.status} {outcome.content}")
+            raise LayoutError(f"the first configuration: {outcome.status} {outcome.content}")
 
     async def _known(self, what: str, items: int, nodes: list[str] | None = None) -> float:
         """Waits until these hold `items` and the record of every sidecar and keeper; returns when."""
@@ -302,7 +302,7 @@
             if least["items"] >= items and least["records"] >= everybody and least["links"] >= 1:
                 return max(each["at"] for each in looks)
             if time.monotonic() > until:
-                raise PlotError(f"waited {STEP_S:g} s for {what}: the least that one knows: {least}")
+                raise LayoutError(f"waited {STEP_S:g} s for {what}: the least that one knows: {least}")
             await asyncio.sleep(LOOK_S)
 
     def _of(self, nodes: list[str] | None) -> list[tuple[Worker, dict[str, Any]]]:
@@ -504,7 +504,7 @@
         try:
             async with asyncio.timeout(left + within):
                 sizes.append(await Run(shape, folder / str(count), count, say).play())
-        except (PlotError, TimeoutError) as error:
+        except (LayoutError, TimeoutError) as error:
             say(f"{count} sidecars failed: {error or 'the time is up'}")
             break
         written(
--- a/foxspread/mesh/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -15,8 +15,8 @@
 
 from foxspread.mesh.hollow.traffic_meter import Meter
 from foxspread.mesh.hollow.sidecar import Hollow
-from foxspread.mesh.log import start
-from foxspread.mesh.settings import taken
+from foxspread.mesh.log import configure_logging
+from foxspread.mesh.settings import settings_from
 
 MARKS_MOST = 2_000_000  # times that are kept until they are asked for; more are left out, and missed
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -37,7 +37,7 @@
         self.count = 0
         self.bare = resident()
         self.hollows = {
-            name: Hollow(loop, taken(settings), partial(self._mark, name))
+            name: Hollow(loop, settings_from(settings), partial(self._mark, name))
             for name, settings in told["sidecars"].items()
         }
 
@@ -113,5 +113,5 @@
 
 
 if __name__ == "__main__":
-    start("hollow")
+    configure_logging("hollow")
     uvloop.run(run(sys.argv[1]))
--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -15,7 +15,7 @@
 from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
 from foxspread.mesh.node import Node
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.registry.endpoint_records import Record
+from foxspread.mesh.registry.endpoint_records import EndpointRecord
 from foxspread.mesh.settings import Settings
 
 BERTHS = 8  # of a server, until it says something else
@@ -89,7 +89,7 @@
             put(item)
             self.mark(f"{item.name}@{item.version}", time.monotonic())
 
-        def marked_take(now: float, new: Record) -> bool:
+        def marked_take(now: float, new: EndpointRecord) -> bool:
             taken = take(now, new)
             if taken:
                 for each in new.servers:
--- a/foxspread/mesh/hollow/sizing.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -14,10 +14,10 @@
 from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.hollow.process import resident
 from foxspread.mesh.hollow.slopes import shown
-from foxspread.mesh.gossip.anti_entropy import Exchange
+from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.transport.netstrings import Decoder, encode
-from foxspread.mesh.registry.endpoint_records import Records, record
-from foxspread.mesh.replication.learner import Copy, row, unrow
+from foxspread.mesh.registry.endpoint_records import EndpointRecords, unpack_record
+from foxspread.mesh.replication.learner import Learner, pack_row, unpack_row
 
 LIFE = 1_764_000_000_000  # milliseconds of the wall clock, as a record's version begins with
 BALLOT = (1000, f"{LIFE:x}0a1b2c")
@@ -109,7 +109,7 @@
     ]
 
 
-def _told_all(exchange: Exchange, peer: Hashable) -> None:
+def _told_all(exchange: AntiEntropy, peer: Hashable) -> None:
     """As `met` and `whole` leave it; these take milliseconds at many sources."""
     exchange.met(peer)
     exchange.peers[peer].told, exchange.peers[peer].held = exchange.changes, set()
@@ -120,11 +120,11 @@
     versions = {each[0]: each[1] for each in told}
     out: list[Weighed] = []
 
-    def registry() -> tuple[Records, Upstreams]:
-        records = Records()
+    def registry() -> tuple[EndpointRecords, Upstreams]:
+        records = EndpointRecords()
         upstreams = Upstreams(records)
         for each in told:
-            records.take(0.0, record(each))
+            records.take(0.0, unpack_record(each))
             upstreams.fold(0.0, each[0])
         return records, upstreams
 
@@ -132,9 +132,9 @@
     out.append(Weighed(f"{sidecars} records and their servers, folded", None, took, memory))
     records = made[0]
 
-    def configuration() -> tuple[Copy, RouteTable]:
-        copy, table = Copy(), RouteTable()
-        for item in copy.fold(BALLOT, [unrow(row(each, BALLOT)) for each in operators]):
+    def configuration() -> tuple[Learner, RouteTable]:
+        copy, table = Learner(), RouteTable()
+        for item in copy.fold(BALLOT, [unpack_row(pack_row(each, BALLOT)) for each in operators]):
             table.put(item)
         return copy, table
 
@@ -142,8 +142,8 @@
     out.append(Weighed(f"{len(operators)} items and the table of routes, folded", None, took, memory))
     copy = made[0]
 
-    def at_sidecar() -> Exchange:
-        exchange = Exchange(lambda peer, source: source == "me")
+    def at_sidecar() -> AntiEntropy:
+        exchange = AntiEntropy(lambda peer, source: source == "me")
         for peer in range(min(5, keepers)):
             exchange.met(peer)
             exchange.told(peer, {source: tuple(v) for source, v in versions.items()})
@@ -155,8 +155,8 @@
     made, took, memory = filled(at_sidecar)
     out.append(Weighed("versions at a sidecar, of itself and five keepers", None, took, memory))
 
-    def at_keeper() -> Exchange:
-        exchange = Exchange(lambda peer, source: source != SETTLED)
+    def at_keeper() -> AntiEntropy:
+        exchange = AntiEntropy(lambda peer, source: source != SETTLED)
         for source, version in versions.items():
             exchange.have(source, tuple(version))
         exchange.dirty.clear()  # who is there was told as they came
@@ -189,12 +189,12 @@
     out += message("one record", {"t": "news", "at": 1.5, "records": [one]})
     out += message(
         "one route",
-        {"t": "news", "at": 1.5, "upto": BALLOT, "age": 0.1, "rows": [row(operators[-1], BALLOT)]},
+        {"t": "news", "at": 1.5, "upto": BALLOT, "age": 0.1, "rows": [pack_row(operators[-1], BALLOT)]},
     )
     out += message("versions of all records", {"t": "have", "v": versions})
     out += message("asking for all records", {"t": "pull", "at": 1.5, "v": {each: [] for each in versions}})
     out += message("all records", {"t": "news", "at": 1.5, "records": told})
-    changes = [row(*each) for each in copy.since((0, ""))]
+    changes = [pack_row(*each) for each in copy.since((0, ""))]
     out += message("all items", {"t": "news", "at": 1.5, "upto": BALLOT, "age": 0.1, "rows": changes})
     some = told[:: max(1, services // 50)]
     out += message(
--- a/foxspread/mesh/hollow/traffic_meter.py
+++ b/foxspread/mesh/hollow/traffic_meter.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.mesh.transport.peer_connection import Link
+from foxspread.mesh.transport.peer_connection import PeerConnection
 from foxspread.mesh.settings import Address
 
 BEAT_MOST = 32  # bytes of a read in which a link hears nothing but beats
@@ -139,12 +139,12 @@
             lost(error)
 
         protocol.connection_made, protocol.connection_lost = connection_made, connection_lost
-        if isinstance(protocol, Link):
+        if isinstance(protocol, PeerConnection):
             _by_kind(protocol, meter, at)
         return protocol
 
 
-def _by_kind(link: Link, meter: Meter, at: list[_Transport]) -> None:
+def _by_kind(link: PeerConnection, meter: Meter, at: list[_Transport]) -> None:
     """Instead of the link's own methods: those, and the count of what goes through them by kind."""
     received, send, heard = link.data_received, link.send, link.heard
     kinds: set[str] = set()
@@ -168,7 +168,7 @@
             at[0].kind = kind
         send(message)
 
-    def counted_heard(heard_by: Link, message: dict[str, Any]) -> None:
+    def counted_heard(heard_by: PeerConnection, message: dict[str, Any]) -> None:
         kind = str(message.get("t"))
         kinds.add(kind)
         meter.messages[f"heard {kind}"] += 1
--- a/foxspread/mesh/local_cluster/layout.py
+++ b/foxspread/mesh/local_cluster/layout.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Plot:
+class Layout:
     folder: pathlib.Path
     machines: tuple[Machine, ...]
 
@@ -59,13 +59,13 @@
         return [self.file(each.node, "server.jsonl") for each in self.of(SIDE)]
 
 
-class PlotError(Exception):
+class LayoutError(Exception):
     """What stands in the way, for whoever called."""
 
 
-def laid(folder: str, core: int, side: int, net: str = NET) -> Plot:
+def create_layout(folder: str, core: int, side: int, net: str = NET) -> Layout:
     if core < 1 or side < 1 or core + side > MOST:
-        raise PlotError(f"--core {core} --side {side}: at least one of each, {MOST} together at the most")
+        raise LayoutError(f"--core {core} --side {side}: at least one of each, {MOST} together at the most")
     ips = (f"{net}.{number}" for number in range(1, MOST + 1))
     machines = [
         Machine(f"core-{number + 1}", CORE, next(ips), ZONES[number % len(ZONES)]) for number in range(core)
@@ -80,10 +80,10 @@
         )
         for number in range(side)
     ]
-    return Plot(pathlib.Path(folder).absolute(), tuple(machines))
+    return Layout(pathlib.Path(folder).absolute(), tuple(machines))
 
 
-def prepare(plot: Plot, faults: dict[str, float]) -> None:
+def prepare(plot: Layout, faults: dict[str, float]) -> None:
     """Writes every settings file. What the disks of an earlier time hold stays, and then it is no first
     start."""
     first = not any(plot.file(each.node, "data").exists() for each in plot.of(CORE))
@@ -96,16 +96,16 @@
     written(plot.folder / FILE, {"machines": rows})
 
 
-def read(folder: str) -> Plot:
+def read(folder: str) -> Layout:
     path = pathlib.Path(folder).absolute() / FILE
     try:
         rows = orjson.loads(path.read_bytes())["machines"]
     except (OSError, ValueError, KeyError) as error:
-        raise PlotError(f"{path}: {error}: is it the folder of an `up`?") from None
-    return Plot(path.parent, tuple(Machine(*row) for row in rows))
+        raise LayoutError(f"{path}: {error}: is it the folder of an `up`?") from None
+    return Layout(path.parent, tuple(Machine(*row) for row in rows))
 
 
-def settings(plot: Plot, machine: Machine, first: bool) -> dict[str, Any]:
+def settings(plot: Layout, machine: Machine, first: bool) -> dict[str, Any]:
     """What the platform would tell that process (DEPLOY's example)."""
     core = machine.kind == CORE
     names = ("control",) if core else ("inbound", "outbound", "ready", "control")
@@ -133,11 +133,11 @@
     return told
 
 
-def write_settings(plot: Plot, machine: Machine, first: bool) -> None:
+def write_settings(plot: Layout, machine: Machine, first: bool) -> None:
     written(plot.file(machine.node, "node.json"), settings(plot, machine, first))
 
 
-def server(plot: Plot, machine: Machine, number: int, faults: dict[str, float]) -> dict[str, Any]:
+def server(plot: Layout, machine: Machine, number: int, faults: dict[str, float]) -> dict[str, Any]:
     """Of the stand-in server beside that machine's sidecar."""
     return {
         "service": machine.service,
--- a/foxspread/mesh/local_cluster/smoke_test.py
+++ b/foxspread/mesh/local_cluster/smoke_test.py
@@ -13,9 +13,9 @@
 
 from foxspread.mesh.dataplane.lanes import Lanes
 from foxspread.mesh.local_cluster.supervisor import pid_of
-from foxspread.mesh.local_cluster.layout import CORE, SERVICES, SIDE, Plot, PlotError
+from foxspread.mesh.local_cluster.layout import CORE, SERVICES, SIDE, Layout, LayoutError
 from foxspread.mesh.emulators.client import Answered, Client, Way
-from foxspread.mesh.emulators.event_record import Ledger, rows
+from foxspread.mesh.emulators.event_record import EventRecord, rows
 from foxspread.mesh.emulators.operator import Operator, Outcome
 
 HOST = "orchard.example"
@@ -77,13 +77,13 @@
     return f"{1000 * took:.0f} ms after its acknowledgement" if took > 0 else "by its acknowledgement"
 
 
-class Trial:
-    def __init__(self, plot: Plot, say: Callable[[str], None], pace: float = PACE) -> None:
+class SmokeTest:
+    def __init__(self, plot: Layout, say: Callable[[str], None], pace: float = PACE) -> None:
         self.plot, self.say, self.pace = plot, say, pace
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.lanes = Lanes(self.clock, 20.0)
-        self.ledger = Ledger(str(plot.folder / "clients.jsonl"))
+        self.ledger = EventRecord(str(plot.folder / "clients.jsonl"))
         self.operator = Operator(plot.controls, self.lanes, self.ledger)
         self.clients = [
             Client(each.node, each.place("outbound"), each.place("ready"), self.lanes, self.ledger)
@@ -97,7 +97,7 @@
         """Raises PlotError where a step does not come about in time."""
         sides = self.plot.of(SIDE)
         if len({each.service for each in sides}) < 2:
-            raise PlotError("wants two sidecars at least: one for each service")
+            raise LayoutError("wants two sidecars at least: one for each service")
         self.begun_at = self.clock()
         watching = [self.loop.create_task(client.watch()) for client in self.clients]
         sweeping = self.loop.create_task(self._sweep())
@@ -201,7 +201,7 @@
     async def _kill(self, node: str) -> float:
         pid = pid_of(self.plot, node)
         if pid is None:
-            raise PlotError(f"{node} does not run")
+            raise LayoutError(f"{node} does not run")
         os.kill(pid, signal.SIGKILL)
         died = self.clock()
         await self._until(f"{node} to be started again", lambda: pid_of(self.plot, node) not in (None, pid))
@@ -361,7 +361,7 @@
     async def _done(self, what: str, call: Any) -> Outcome:
         outcome = await call
         if not outcome:
-            raise PlotError(f"{what}: {outcome.status or 'no answer'}: {outcome.content}")
+            raise LayoutError(f"{what}: {outcome.status or 'no answer'}: {outcome.content}")
         return outcome
 
     async def _until(self, what: str, found: Callable[[], Any]) -> None:
@@ -374,7 +374,7 @@
             if seen:
                 return
             if self.clock() >= until:
-                raise PlotError(f"waited in vain for {what}: see the logs under {self.plot.folder}")
+                raise LayoutError(f"waited in vain for {what}: see the logs under {self.plot.folder}")
             await asyncio.sleep(LOOK_S)
 
     def _ms(self, since: float) -> str:
--- a/foxspread/mesh/local_cluster/supervisor.py
+++ b/foxspread/mesh/local_cluster/supervisor.py
@@ -17,13 +17,13 @@
     INNER,
     PORTS,
     SIDE,
-    Plot,
-    PlotError,
+    Layout,
+    LayoutError,
     prepare,
     write_settings,
 )
-from foxspread.mesh.settings import FILE_VARIABLE, Address, shown
-from foxspread.mesh.emulators.http_call import asked, written
+from foxspread.mesh.settings import FILE_VARIABLE, Address, format_address
+from foxspread.mesh.emulators.http_call import asked, encode_request
 from foxspread.mesh.emulators.event_record import rows
 
 ROOT = pathlib.Path(foxspread.__file__).parents[1]
@@ -79,8 +79,8 @@
         return len(self.ends) > ENDS_MOST
 
 
-class Nursery:
-    def __init__(self, plot: Plot, say: Say, faults: dict[str, float] | None = None) -> None:
+class Supervisor:
+    def __init__(self, plot: Layout, say: Say, faults: dict[str, float] | None = None) -> None:
         """`faults`: of the servers."""
         self.plot, self.say, self.faults = plot, say, faults or {}
         self.nodes, self.servers = [], []
@@ -140,7 +140,7 @@
             while waits or known:
                 if time.monotonic() > until:
                     left = [each[0] for each in (*waits, *known)]
-                    raise PlotError(f"not up within {READY_WITHIN_S:g} s: {', '.join(left)}: see the logs")
+                    raise LayoutError(f"not up within {READY_WITHIN_S:g} s: {', '.join(left)}: see the logs")
                 await asyncio.sleep(LOOK_S)
                 waits = [each for each in waits if not await self._answers(lanes, *each[1:])]
                 known = [each for each in known if not _acknowledged(each[1], began)]
@@ -148,7 +148,7 @@
             lanes.close_all()
 
     async def _answers(self, lanes: Lanes, place: Address, target: str, good: tuple[int, ...]) -> bool:
-        reply = await asked(lanes, place, written("GET", target, shown(place)), 1.0)
+        reply = await asked(lanes, place, encode_request("GET", target, format_address(place)), 1.0)
         return reply.status in good
 
     async def _keep(self, child: Child) -> None:
@@ -159,7 +159,7 @@
             if child.often():
                 if not self.lost.done():
                     often = f"{ENDS_MOST + 1} times within {ENDS_WITHIN_S:g} s"
-                    self.lost.set_exception(PlotError(f"{child.name} ended {often}: see {child.log}"))
+                    self.lost.set_exception(LayoutError(f"{child.name} ended {often}: see {child.log}"))
                 return
             self.say(f"{child.name} ended ({_told(code)}); it is started again")
             await asyncio.sleep(AGAIN_S)
@@ -186,7 +186,7 @@
             child.signal(kill=True)
 
 
-def free(plot: Plot) -> None:
+def free(plot: Layout) -> None:
     """Whether its addresses can be had; raised with the one that can't."""
     for machine in plot.machines:
         ports = [PORTS["control"], INNER[0]]
@@ -197,13 +197,13 @@
                 try:
                     tried.bind((machine.ip, port))
                 except OSError as error:
-                    raise PlotError(
+                    raise LayoutError(
                         f"{machine.ip}:{port}: {error.strerror}: by another `up`, or processes of one that "
                         "was killed (their ids: */*.pid in its folder)? --net takes other addresses"
                     ) from None
 
 
-def pid_of(plot: Plot, node: str) -> int | None:
+def pid_of(plot: Layout, node: str) -> int | None:
     """Of the node's process, while it runs."""
     try:
         return int(plot.file(node, f"{node}.pid").read_text())
--- a/foxspread/mesh/log.py
+++ b/foxspread/mesh/log.py
@@ -6,7 +6,7 @@
 LOGGER = logging.getLogger("orchard")
 
 
-def start(node: str, level: int = logging.INFO) -> None:
+def configure_logging(node: str, level: int = logging.INFO) -> None:
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         logging.Formatter(
@@ -18,7 +18,7 @@
     LOGGER.propagate = False
 
 
-def say(event: str, level: int = logging.INFO, **fields: object) -> None:
+def log_event(event: str, level: int = logging.INFO, **fields: object) -> None:
     """One event; a value with a space, a quote or an equals sign in it is quoted."""
     if LOGGER.isEnabledFor(level):
         LOGGER.log(
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -11,7 +11,7 @@
 import traceback
 from typing import Any
 
-from foxspread.mesh.event_log import Event, Journal
+from foxspread.mesh.event_log import Event, EventLog
 from foxspread.mesh.dataplane.caller import CallerDesk
 from foxspread.mesh.dataplane.errand import Steering
 from foxspread.mesh.dataplane.hop import Hop, HopDesk
@@ -19,32 +19,38 @@
 from foxspread.mesh.dataplane.lasthop import LastHop
 from foxspread.mesh.dataplane.memory import share
 from foxspread.mesh.dataplane.serving import Desk, Serving
-from foxspread.mesh.control_api.configuration import Configuration
-from foxspread.mesh.control_api.handlers import ControlDesk, ReadyDesk
-from foxspread.mesh.control_api.instances import Instances
-from foxspread.mesh.control_api.readiness import Readiness, Standstill
+from foxspread.mesh.control_api.configuration import ConfigurationResource
+from foxspread.mesh.control_api.handlers import ControlApi, ReadinessApi
+from foxspread.mesh.control_api.instances import InstancesResource
+from foxspread.mesh.control_api.readiness import Readiness, PauseDetector
 from foxspread.mesh.configuration.items import LIMITS, MEMBERS, Item
 from foxspread.mesh.configuration.routes import RouteTable
-from foxspread.mesh.registry.incarnations import Lives
-from foxspread.mesh.registry.endpoint_records import LEAVING, UP, Record, Records, record
-from foxspread.mesh.registry.drain_propagation import Spread
-from foxspread.mesh.gossip.connection_manager import CALL_S, Dialling, Leaning
-from foxspread.mesh.gossip.anti_entropy import Exchange
-from foxspread.mesh.gossip.partial_view import Neighbour, View, neighbour
-from foxspread.mesh.log import say
-from foxspread.mesh.errors import Broken, Failure
-from foxspread.mesh.transport.datagrams import Datagrams
-from foxspread.mesh.transport.peer_connection import Link
+from foxspread.mesh.registry.incarnations import InstanceTable
+from foxspread.mesh.registry.endpoint_records import (
+    LEAVING,
+    UP,
+    EndpointRecord,
+    EndpointRecords,
+    unpack_record,
+)
+from foxspread.mesh.registry.drain_propagation import DrainPropagation
+from foxspread.mesh.gossip.connection_manager import CALL_S, ConnectionManager, NeighbourFallback
+from foxspread.mesh.gossip.anti_entropy import AntiEntropy
+from foxspread.mesh.gossip.partial_view import Neighbour, PartialView, unpack_neighbour
+from foxspread.mesh.log import log_event
+from foxspread.mesh.errors import InvariantViolation, Failure
+from foxspread.mesh.transport.datagrams import DatagramEndpoint
+from foxspread.mesh.transport.peer_connection import PeerConnection
 from foxspread.mesh.health.upstreams import Upstreams
-from foxspread.mesh.replication.quorum_contact import Contact, Report, Starts
-from foxspread.mesh.replication.snapshot_transfer import CatchUp
-from foxspread.mesh.replication.learner import Copy, ballot, unrow
-from foxspread.mesh.replication.storage import Disk
-from foxspread.mesh.replication.replica_server import CUT_OFF_S, Keeper
-from foxspread.mesh.replication.reconfiguration import Replacement, View as MembersView
+from foxspread.mesh.replication.quorum_contact import QuorumContact, Report, StartHistory
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
+from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
+from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.replica_server import CUT_OFF_S, ReplicaServer
+from foxspread.mesh.replication.reconfiguration import Reconfiguration, ClusterView as MembersView
 from foxspread.mesh.replication.replica import PATIENCE_S
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.settings import Address, Settings, address, moved, read, shown
+from foxspread.mesh.settings import Address, Settings, parse_address, reloaded, read_settings, format_address
 from foxspread.sums import Chance
 
 TICK_S = 0.1
@@ -66,40 +72,42 @@
         self.clock = steady
         self.life = os.urandom(10).hex()  # by chance alone: no clock makes two lives alike
         self.chance = Chance(int.from_bytes(os.urandom(4), "big"))
-        self.journal = Journal(self.clock)
+        self.journal = EventLog(self.clock)
         self.member = (
-            shown(settings.counters["control"]) if settings.keeps and "control" in settings.counters else ""
+            format_address(settings.counters["control"])
+            if settings.keeps and "control" in settings.counters
+            else ""
         )
         # State: what is settled, who says what of itself.
-        self.table, self.records, self.upstreams = RouteTable(), Records(), None
+        self.table, self.records, self.upstreams = RouteTable(), EndpointRecords(), None
         self.upstreams = Upstreams(self.records)
         self.journal.view("settled", self._fold_items)
         self.journal.view("record", self._fold_record)
-        self.copy = Copy()
-        self.keeper: Keeper | None = None
-        self.replacement: Replacement | None = None
-        self.contact = Contact(self.member, int.from_bytes(os.urandom(4), "big"))
-        self.starts = Starts()
+        self.copy = Learner()
+        self.keeper: ReplicaServer | None = None
+        self.replacement: Reconfiguration | None = None
+        self.contact = QuorumContact(self.member, int.from_bytes(os.urandom(4), "big"))
+        self.starts = StartHistory()
         self.in_contact = False  # as others were last told
-        self.readiness, self.still = Readiness(), Standstill(self.clock(), TICK_S)
-        self.exchange = Exchange(self._tells)
-        self.catchup = CatchUp(self.copy, self.chance.draw)
+        self.readiness, self.still = Readiness(), PauseDetector(self.clock(), TICK_S)
+        self.exchange = AntiEntropy(self._tells)
+        self.catchup = SnapshotTransfer(self.copy, self.chance.draw)
         self.number, self.record_life = 0, int(time.time() * 1e6)  # of the record; raised where it is known
         self.state, self.knows_records = UP, False
         # Links.
-        self.links: dict[str, Link] = {}
-        self.unnamed: set[Link] = set()
+        self.links: dict[str, PeerConnection] = {}
+        self.unnamed: set[PeerConnection] = set()
         self.keepers: dict[str, str] = {}  # linked: control address -> node
         draw = random.Random(os.urandom(16)).random
-        self.dialling = Dialling(
+        self.dialling = ConnectionManager(
             self.clock(), settings.inner, settings.keeps, settings.seed_addresses(), draw
         )
-        self.leaning, self.sides_called = Leaning(self.clock()), {}
+        self.leaning, self.sides_called = NeighbourFallback(self.clock()), {}
         self.flushing = False
         me = Neighbour(settings.node, settings.inner, settings.keeps)
-        self.view, self.datagrams = View(me, self.chance.draw), Datagrams(self._shuffled)
+        self.view, self.datagrams = PartialView(me, self.chance.draw), DatagramEndpoint(self._shuffled)
         # The path.
-        self.lives = Lives(settings.heartbeat_s, settings.zone)
+        self.lives = InstanceTable(settings.heartbeat_s, settings.zone)
         self.steering = Steering(settings.zone, self.upstreams, settings.bounds, self.chance, self._sidecars)
         bodies = share(settings.memory_mb)
         self.app_lanes = Lanes(self.clock, 6.0, share=bodies)
@@ -130,24 +138,25 @@
         loop.add_signal_handler(signal.SIGTERM, self._end)
         loop.add_signal_handler(signal.SIGINT, self._end)
         loop.add_signal_handler(signal.SIGHUP, self._reread)
-        control = ControlDesk(
-            self.clock, {"Instances": Instances(self.clock, self.lives, self._own_record, self._spread)}
+        control = ControlApi(
+            self.clock,
+            {"Instances": InstancesResource(self.clock, self.lives, self._own_record, self._spread)},
         )
         self.desks = {
             "control": control,
-            "ready": ReadyDesk(self.clock, self._ready),
+            "ready": ReadinessApi(self.clock, self._ready),
             "inbound": HopDesk(self.clock, self.hop),
             "outbound": self.caller_desk,
         }
         if settings.keeps:
-            disk = Disk(settings.data_dir, loop.call_soon_threadsafe)
-            self.keeper = Keeper(
+            disk = Storage(settings.data_dir, loop.call_soon_threadsafe)
+            self.keeper = ReplicaServer(
                 self.clock, self.life, self.chance.draw, disk, self._send_member, self._settled
             )
             self.keeper.others = lambda: self.keepers
-            self.replacement = Replacement(self.member, self.life, self.chance.draw)
+            self.replacement = Reconfiguration(self.member, self.life, self.chance.draw)
             self.keeper.patience = lambda: PATIENCE_S if self._current() else CUT_OFF_S
-        control.resources["Config"] = Configuration(
+        control.resources["Config"] = ConfigurationResource(
             self.keeper, self._a_core, lambda: self.still.stale(self.clock())
         )
         for name, place in settings.counters.items():
@@ -158,7 +167,7 @@
         self.servers.append(await loop.create_server(self._link, *settings.inner, backlog=256))
         await loop.create_datagram_endpoint(lambda: self.datagrams, local_addr=settings.inner)
         self._own_record()
-        say(
+        log_event(
             "start",
             life=self.life,
             keeps=settings.keeps,
@@ -174,7 +183,7 @@
             self.copy = self.catchup.copy = (acceptor := Acceptor(self.member, saved)).copy
             self.keeper.begin(acceptor)
             self._agreed(self.keeper.members.of)
-            say(
+            log_event(
                 "disk",
                 disk=acceptor.disk,
                 voting=acceptor.voting,
@@ -189,8 +198,10 @@
     def _fault(self, loop: asyncio.AbstractEventLoop, told: dict[str, Any]) -> None:
         """What no part has made a value of: told, and survived, unless an invariant is broken."""
         error = told.get("exception")
-        say("fault", logging.ERROR, what=told.get("message", ""), error=repr(error), where=_where(error))
-        if isinstance(error, Broken):
+        log_event(
+            "fault", logging.ERROR, what=told.get("message", ""), error=repr(error), where=_where(error)
+        )
+        if isinstance(error, InvariantViolation):
             os._exit(70)
 
     def _end(self) -> None:
@@ -201,7 +212,7 @@
     async def _wind_down(self) -> None:
         """Nobody is sent here any more; what was read is answered; then it ends."""
         grace, began = self.settings.bounds["grace_s"], self.clock()
-        say("ending")
+        log_event("ending")
         self.state = LEAVING
         self._own_record()
         side = "outbound" in self.settings.counters
@@ -225,28 +236,28 @@
             line.owes for desk in self.desks.values() for line in desk.lines
         ):
             await asyncio.sleep(0.02)
-        say("end", after=self.clock() - began)
+        log_event("end", after=self.clock() - began)
         self.done.set()
 
     def _reread(self) -> None:
         """At SIGHUP, and now and then: the file may also change without a signal."""
-        new = read()
+        new = read_settings()
         if isinstance(new, Failure):
-            return say("settings_refused", why=new.reason)
-        new = moved(self.settings, new)
+            return log_event("settings_refused", why=new.reason)
+        new = reloaded(self.settings, new)
         if new != self.settings:
             self.settings = new
             self.dialling.seeded(self.clock(), new.seed_addresses())
             self.caller_desk.caller = new.service.encode()
-            say("settings", seeds=",".join(new.seeds), service=new.service)
+            log_event("settings", seeds=",".join(new.seeds), service=new.service)
 
     async def _tick(self) -> None:
-        count, self.still = 0, Standstill(self.clock(), TICK_S)  # the start, with its disk, was no sleep
+        count, self.still = 0, PauseDetector(self.clock(), TICK_S)  # the start, with its disk, was no sleep
         while True:
             await asyncio.sleep(TICK_S)
             now = self.clock()
             if slept := self.still.beat(now):
-                say("slept", seconds=slept)
+                log_event("slept", seconds=slept)
                 self.lives.slept(slept)
             for link in [*self.links.values(), *self.unnamed]:
                 link.beat(slept)
@@ -337,7 +348,7 @@
         if (current := self._current()) == self.in_contact:
             return
         self.in_contact = current
-        say("contact", majority=current, epoch=self.keeper.members.epoch, upto=self.copy.upto[0])
+        log_event("contact", majority=current, epoch=self.keeper.members.epoch, upto=self.copy.upto[0])
         for link in self.links.values():
             link.send({"t": "standing", "contact": current})
         if current:
@@ -381,7 +392,7 @@
 
     def _agreed(self, members: list[str] | tuple[str, ...]) -> None:
         port = self.settings.inner_ports[0]
-        self.dialling.agreed(self.clock(), [(address(each)[0], port) for each in members])
+        self.dialling.agreed(self.clock(), [(parse_address(each)[0], port) for each in members])
 
     def _limit(self, told: dict[str, Any]) -> None:
         limits = self.caller_desk.limits
@@ -399,19 +410,19 @@
     def _own_record(self) -> None:
         self.number += 1
         place = self.settings.counters.get("inbound")
-        mine = record(
+        mine = unpack_record(
             [
                 self.settings.node,
                 [self.record_life, self.number],
                 self.settings.zone,
                 self.state,
-                shown(place) if place else "",
+                format_address(place) if place else "",
                 self.lives.rows(self.clock()),
             ]
         )
         self._take_record(mine)
 
-    def _take_record(self, new: Record) -> None:
+    def _take_record(self, new: EndpointRecord) -> None:
         if self.records.take(self.clock(), new):
             self.exchange.have(new.node, new.version)
             self.journal.append("record", new.node)
@@ -420,7 +431,7 @@
     async def _spread(self) -> bool:
         """Whether a drain that this sidecar's own record tells of is to be acknowledged."""
         version = self.record_life, self.number
-        wait = Spread(self.clock(), "inbound" in self.settings.counters)
+        wait = DrainPropagation(self.clock(), "inbound" in self.settings.counters)
         while True:
             linked = self.dialling.in_contact()
             known = self.exchange.known_by(self.settings.node, version, linked)
@@ -431,12 +442,12 @@
 
     # Links.
 
-    def _link(self, dialled: Address | None = None) -> Link:
-        link = Link(self.clock, self._opened, self._heard, self._ended)
+    def _link(self, dialled: Address | None = None) -> PeerConnection:
+        link = PeerConnection(self.clock, self._opened, self._heard, self._ended)
         link.dialled = dialled
         return link
 
-    def _opened(self, link: Link) -> None:
+    def _opened(self, link: PeerConnection) -> None:
         self.unnamed.add(link)
         hello = {
             "t": "hello",
@@ -448,7 +459,7 @@
         }
         link.send(hello)
 
-    def _ended(self, link: Link) -> None:
+    def _ended(self, link: PeerConnection) -> None:
         self.unnamed.discard(link)
         if link.peer is None:
             if link.dialled is not None:
@@ -459,7 +470,7 @@
             self.catchup.left(link.peer)
             self.dialling.down(self.clock(), link.peer)
             self.keepers = {member: name for member, name in self.keepers.items() if name != link.peer}
-            say("link_ended", peer=link.peer, why=link.why)
+            log_event("link_ended", peer=link.peer, why=link.why)
 
     def _dial(self, now: float) -> None:
         for place in self.dialling.calls(now):
@@ -495,16 +506,16 @@
     def _shuffled(self, message: dict[str, Any]) -> None:
         answer = self.view.heard(message)
         if answer is not None:
-            self.datagrams.send(neighbour(message["view"][0]).place, answer)
+            self.datagrams.send(unpack_neighbour(message["view"][0]).place, answer)
         for each in self.view.of.values():
             if each.keeps:
                 self.dialling.told(self.clock(), each.place)
 
     async def _call(self, place: Address) -> None:
         refused = False
-        links: list[Link] = []
+        links: list[PeerConnection] = []
 
-        def called() -> Link:
+        def called() -> PeerConnection:
             links.append(self._link(place))
             return links[-1]
 
@@ -519,7 +530,7 @@
             refused = True
         self.dialling.vain(self.clock(), place, refused)
 
-    def _heard(self, link: Link, message: dict[str, Any]) -> None:
+    def _heard(self, link: PeerConnection, message: dict[str, Any]) -> None:
         kind = message.get("t")
         if kind == "hello":
             return self._met(link, message)
@@ -528,7 +539,7 @@
         if kind == "have":
             versions = {source: tuple(v) for source, v in message["v"].items()}
             if (upto := versions.pop(SETTLED, None)) is not None and self._learns_from(link.peer):
-                self.catchup.told(link.peer, ballot(upto))
+                self.catchup.told(link.peer, unpack_proposal_number(upto))
             self.exchange.told(link.peer, versions)
             self._noticed(message["v"])
             self._soon()
@@ -538,7 +549,7 @@
             self._take_news(link.peer, message)
         elif kind == "piece":
             if self._may_tell(link.peer):
-                link.send(CatchUp.answer(self.copy, message, self._age(), self._keeps(link.peer)))
+                link.send(SnapshotTransfer.answer(self.copy, message, self._age(), self._keeps(link.peer)))
         elif kind == "rows":
             self._take_rows(link.peer, message)
         elif kind == "standing":
@@ -547,9 +558,12 @@
             sender = next(member for member, node in self.keepers.items() if node == link.peer)
             if kind == "contact":
                 if self.keeper.acceptor is not None:
-                    disk, promised = ballot(message["disk"]), ballot(message["promised"])
+                    disk, promised = (
+                        unpack_proposal_number(message["disk"]),
+                        unpack_proposal_number(message["promised"]),
+                    )
                     past = self.starts.told(sender, message["life"], disk, message["boots"], promised)
-                    answer = Contact.answer(message, self._report())
+                    answer = QuorumContact.answer(message, self._report())
                     link.send({**answer, "older": message["life"]} if past else answer)
             elif kind == "contacted":
                 if message.get("older") == self.life:
@@ -559,7 +573,7 @@
             else:
                 self.keeper.heard(sender, message)
 
-    def _met(self, link: Link, hello: dict[str, Any]) -> None:
+    def _met(self, link: PeerConnection, hello: dict[str, Any]) -> None:
         self.unnamed.discard(link)
         link.peer = name = hello["node"]
         if (old := self.links.get(name)) is not None and old is not link:
@@ -576,7 +590,7 @@
             self.dialling.told(now, tuple(each))
         self.exchange.met(name)
         link.send({"t": "have", "v": self.exchange.whole(name)})
-        say("link", peer=name)
+        log_event("link", peer=name)
         if hello["member"] and self.keeper is not None:
             self.contact.next_at = now  # it is asked at the next tick
             self.keeper.reached(hello["member"])
@@ -606,12 +620,12 @@
 
     def _take_news(self, peer: str, news: dict[str, Any]) -> None:
         if "upto" in news and self.keeper is None:
-            if (upto := ballot(news["upto"])) <= self.copy.upto:
+            if (upto := unpack_proposal_number(news["upto"])) <= self.copy.upto:
                 self.readiness.told(self.clock(), news["at"], news["age"])
             else:
                 self.catchup.told(peer, upto)
         for told in news.get("records", ()):
-            self._take_record(record(told))
+            self._take_record(unpack_record(told))
         self.knows_records = self.knows_records or "records" in news
         self._soon()
 
@@ -621,7 +635,7 @@
             if self.keeper is not None:
                 self.keeper.learn(taken.upto, taken.rows, taken.replaced)
             else:
-                rows = map(unrow, taken.rows)
+                rows = map(unpack_row, taken.rows)
                 take = self.copy.replace if taken.replaced else self.copy.fold
                 if new := take(taken.upto, rows):
                     self.journal.append("settled", new)
--- a/foxspread/mesh/process.py
+++ b/foxspread/mesh/process.py
@@ -8,20 +8,20 @@
 
 import uvloop
 
-from foxspread.mesh.log import say, start
+from foxspread.mesh.log import log_event, configure_logging
 from foxspread.mesh.node import Node
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.settings import FILE_VARIABLE, read
+from foxspread.mesh.settings import FILE_VARIABLE, read_settings
 
 
 def serve(path: str | None = None) -> int:
     """Until its end; returns the exit code. `path`: the settings file, else FOXSPREAD_NODE_FILE names it."""
     if path is not None:
         os.environ[FILE_VARIABLE] = path  # it is read again while the process runs
-    told = read()
-    start(told.node if told else "unknown")
+    told = read_settings()
+    configure_logging(told.node if told else "unknown")
     if isinstance(told, Failure):
-        say("settings_refused", why=told.reason)
+        log_event("settings_refused", why=told.reason)
         return 2
 
     async def run() -> None:
--- a/foxspread/mesh/registry/drain_propagation.py
+++ b/foxspread/mesh/registry/drain_propagation.py
@@ -12,7 +12,7 @@
 SPREAD_S = 0.7  # for others to learn of a drain, before the server is told that it is acknowledged
 
 
-class Spread:
+class DrainPropagation:
     """One wait. `guards`: whether the requests for the server pass this process."""
 
     def __init__(self, now: float, guards: bool) -> None:
--- a/foxspread/mesh/registry/endpoint_records.py
+++ b/foxspread/mesh/registry/endpoint_records.py
@@ -5,20 +5,20 @@
 
 from dataclasses import dataclass, field
 
-from foxspread.mesh.registry.incarnations import Server, server
-from foxspread.mesh.settings import Address, address, shown
+from foxspread.mesh.registry.incarnations import Instance, unpack_instance
+from foxspread.mesh.settings import Address, parse_address, format_address
 
 UP, LEAVING = "up", "leaving"
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class EndpointRecord:
     node: str
     version: tuple[int, int]  # life: milliseconds of the wall clock at its start, or one more than was known
     zone: str
     state: str
     inbound: Address | None  # where the last hop is asked
-    servers: tuple[Server, ...] = field(default=())
+    servers: tuple[Instance, ...] = field(default=())
 
     def packed(self) -> list:
         return [
@@ -26,34 +26,34 @@
             list(self.version),
             self.zone,
             self.state,
-            shown(self.inbound) if self.inbound else "",
+            format_address(self.inbound) if self.inbound else "",
             [each.packed() for each in self.servers],
         ]
 
 
-def record(row: list) -> Record:
+def unpack_record(row: list) -> EndpointRecord:
     node, version, zone, state, inbound, servers = row
-    return Record(
+    return EndpointRecord(
         node,
         tuple(version),
         zone,
         state,
-        address(inbound) if inbound else None,
-        tuple(server(each) for each in servers),
+        parse_address(inbound) if inbound else None,
+        tuple(unpack_instance(each) for each in servers),
     )
 
 
-class Records:
+class EndpointRecords:
     """A view: the newest record of each sidecar, and since when it says so. How many there are is asked for
     each further try of a request, so it is counted as they come."""
 
     def __init__(self) -> None:
-        self.of: dict[str, Record] = {}
+        self.of: dict[str, EndpointRecord] = {}
         self.since: dict[str, float] = {}  # in that state, in that life
         self.sidecars = 0  # that have a last hop
         self.of_zone: dict[str, set[str]] = {}  # those
 
-    def take(self, now: float, new: Record) -> bool:
+    def take(self, now: float, new: EndpointRecord) -> bool:
         old = self.of.get(new.node)
         if old is not None and old.version >= new.version:
             return False
--- a/foxspread/mesh/registry/incarnations.py
+++ b/foxspread/mesh/registry/incarnations.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class Instance:
     id: str
     service: str
     address: str
@@ -40,14 +40,14 @@
         ]
 
 
-def server(row: list) -> Server:
-    return Server(*row)
+def unpack_instance(row: list) -> Instance:
+    return Instance(*row)
 
 
-class Lives:
+class InstanceTable:
     def __init__(self, heartbeat: float, zone: str = "") -> None:
         self.heartbeat, self.zone = heartbeat, zone
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, Instance] = {}
         self.heard: dict[str, float] = {}
         self.warm_at: dict[str, float] = {}
         self.draining_at: dict[str, float] = {}  # when that was first heard
@@ -65,7 +65,7 @@
             self.draining_at.setdefault(id, now if old is not None else -math.inf)
         elif id in self.draining_at:
             state = DRAINING  # there is no way back in one life
-        new = Server(
+        new = Instance(
             id,
             told["service"],
             told["address"],
--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -20,13 +20,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.mesh.configuration.items import MEMBERS, Item, Key, unpacked
-from foxspread.mesh.replication.learner import NONE, Ballot, Copy, ballot, row, unrow
-from foxspread.mesh.replication.membership import Members, enough_to_enrol, members_of
+from foxspread.mesh.configuration.items import MEMBERS, Item, Key, unpack_item
+from foxspread.mesh.replication.learner import (
+    NONE,
+    ProposalNumber,
+    Learner,
+    unpack_proposal_number,
+    pack_row,
+    unpack_row,
+)
+from foxspread.mesh.replication.membership import MemberSet, enrolment_quorum, member_set_of
 
 Message = dict[str, Any]
 Write = tuple  # ("meta", name, value), ("items", rows) or ("drop", keys of items)
-Identity = Ballot  # of a disk: a number, 0 on the first start of all, and chance
+Identity = ProposalNumber  # of a disk: a number, 0 on the first start of all, and chance
 Answer = tuple[list[Write], Message | None, list[Item]]  # written, then sent; settled items that are new here
 AHEAD_MOST = 256  # rows that a message brings along; whoever lacks more takes them in pieces
 DISKS_MOST = 64  # identities noted of machines, members first
@@ -39,9 +46,9 @@
 
     disk: Identity
     members: tuple[str, ...]  # those of epoch 0, or seeds
-    promised: Ballot = NONE
-    settled: Ballot = NONE
-    accepted: Ballot = NONE
+    promised: ProposalNumber = NONE
+    settled: ProposalNumber = NONE
+    accepted: ProposalNumber = NONE
     rows: list = field(default_factory=list)
     delta: list = field(default_factory=list)
     disks: dict[str, Identity] = field(default_factory=dict)
@@ -54,14 +61,14 @@
         """What `Write`s have left behind."""
         accepted, delta = meta.get("accepted", [[0, ""], []])
         return cls(
-            ballot(meta["disk"]),
+            unpack_proposal_number(meta["disk"]),
             tuple(meta["members"]),
             tuple(meta.get("promised", NONE)),
             tuple(meta.get("settled", NONE)),
             tuple(accepted),
             rows,
             delta,
-            {member: ballot(disk) for member, disk in meta.get("disks", {}).items()},
+            {member: unpack_proposal_number(disk) for member, disk in meta.get("disks", {}).items()},
             meta["voting"],
             meta["known"],
             meta.get("boots", 0),
@@ -73,27 +80,29 @@
     newest: dict[str, Identity] = {}
     for each in answers.values():
         for member, disk in each["disks"].items():
-            newest[member] = max(newest.get(member, NONE), ballot(disk))
-    return {m: each for m, each in answers.items() if ballot(each["disks"][m]) == newest[m]}
+            newest[member] = max(newest.get(member, NONE), unpack_proposal_number(disk))
+    return {m: each for m, each in answers.items() if unpack_proposal_number(each["disks"][m]) == newest[m]}
 
 
 class Acceptor:
     def __init__(self, me: str, saved: Saved) -> None:
-        self.me, self.disk, self.seeds = me, saved.disk, Members(0, tuple(sorted(saved.members)))
+        self.me, self.disk, self.seeds = me, saved.disk, MemberSet(0, tuple(sorted(saved.members)))
         self.promised, self.accepted = saved.promised, saved.accepted
-        self.copy = Copy()
-        self.copy.fold(saved.settled, map(unrow, saved.rows))
-        self.delta: dict[Key, Item] = {item.key: item for item in map(unpacked, saved.delta)}
+        self.copy = Learner()
+        self.copy.fold(saved.settled, map(unpack_row, saved.rows))
+        self.delta: dict[Key, Item] = {item.key: item for item in map(unpack_item, saved.delta)}
         self.disks, self.voting, self.known = dict(saved.disks), saved.voting, saved.known
         self.enrolled: dict[str, Message] = {}
         self.boots = saved.boots
-        self.target: Ballot | None = None  # enrolled: it votes once it holds what was settled up to this
+        self.target: ProposalNumber | None = (
+            None  # enrolled: it votes once it holds what was settled up to this
+        )
 
     @property
-    def members(self) -> Members:
+    def members(self) -> MemberSet:
         """The set that was settled last, as far as known here."""
         held = self.copy.items.get(MEMBERS_KEY)
-        return members_of(held) if held is not None else self.seeds
+        return member_set_of(held) if held is not None else self.seeds
 
     @property
     def epoch(self) -> int:
@@ -127,7 +136,7 @@
     def prepare(self, message: Message) -> Answer:
         if not self.voting:
             return [], None, []
-        asked = ballot(message["b"])
+        asked = unpack_proposal_number(message["b"])
         if message["e"] < self.epoch:
             return [], self._stale(message), []
         if asked < self.promised:
@@ -142,7 +151,7 @@
                 "s": self.copy.upto,
                 "disks": self.disks_known,
                 "delta": [item.packed() for item in self.delta.values()],
-                "ahead": self.rows(ballot(message["s"])),
+                "ahead": self.rows(unpack_proposal_number(message["s"])),
             },
             [],
         )
@@ -150,22 +159,22 @@
     def accept(self, message: Message) -> Answer:
         if not self.voting:
             return [], None, []
-        asked, base = ballot(message["b"]), ballot(message["s"])
+        asked, base = unpack_proposal_number(message["b"]), unpack_proposal_number(message["s"])
         if message["e"] < self.epoch:
             return [], self._stale(message), []
-        promised_by = {member: ballot(disk) for member, disk in message["disks"].items()}
+        promised_by = {member: unpack_proposal_number(disk) for member, disk in message["disks"].items()}
         if asked < self.promised or any(promised_by.get(m, d) < d for m, d in self.disks_known.items()):
             return [], self._nack(asked), []
         writes: list[Write] = []
         new: list[Item] = []
         if self.copy.upto < base:
-            if message.get("ahead") is None or ballot(message["since"]) > self.copy.upto:
+            if message.get("ahead") is None or unpack_proposal_number(message["since"]) > self.copy.upto:
                 return [], {"t": "behind", "b": asked, "s": self.copy.upto}, []
-            writes, new = self.learn(base, map(unrow, message["ahead"]))
+            writes, new = self.learn(base, map(unpack_row, message["ahead"]))
         writes += self._promise(asked)
         if asked > self.copy.upto:
             self.accepted = asked
-            self.delta = {item.key: item for item in map(unpacked, message["delta"])}
+            self.delta = {item.key: item for item in map(unpack_item, message["delta"])}
             writes.append(self._accepted())
         return writes, {"t": "accepted", "b": asked, "disks": self.disks_known}, new
 
@@ -174,7 +183,7 @@
         of after that; a later identity than the one that asks is told as well."""
         if not self.voting:
             return [], None, []
-        disk = max(ballot(message["disk"]), self.disks.get(sender, NONE))
+        disk = max(unpack_proposal_number(message["disk"]), self.disks.get(sender, NONE))
         return (
             [self._note({sender: disk})],
             {
@@ -203,7 +212,7 @@
                 del self.disks[member]  # noted longest ago; it is agreed anew before it may be a member
         return ("meta", "disks", dict(self.disks))
 
-    def _promise(self, asked: Ballot) -> list[Write]:
+    def _promise(self, asked: ProposalNumber) -> list[Write]:
         if asked <= self.promised:
             return []
         self.promised = asked
@@ -212,29 +221,29 @@
     def _accepted(self) -> Write:
         return ("meta", "accepted", [self.accepted, [item.packed() for item in self.delta.values()]])
 
-    def _nack(self, asked: Ballot) -> Message:
+    def _nack(self, asked: ProposalNumber) -> Message:
         return {"t": "nack", "b": asked, "promised": self.promised}
 
     def _stale(self, message: Message) -> Message:
         """To one that names an epoch that is over."""
         return {
             "t": "stale",
-            "b": ballot(message["b"]),
+            "b": unpack_proposal_number(message["b"]),
             "s": self.copy.upto,
-            "ahead": self.rows(ballot(message["s"])),
+            "ahead": self.rows(unpack_proposal_number(message["s"])),
         }
 
-    def rows(self, since: Ballot) -> list | None:
+    def rows(self, since: ProposalNumber) -> list | None:
         """What has changed since then; None where that is too much for a message."""
         if NONE < since < self.copy.horizon:
             return None  # what was dropped since may be gone without a trace
         found = self.copy.since(since) if self.copy.upto > since else []
-        return [row(*each) for each in found] if len(found) <= AHEAD_MOST else None
+        return [pack_row(*each) for each in found] if len(found) <= AHEAD_MOST else None
 
     # As one that learns what is settled.
 
     def learn(
-        self, upto: Ballot, rows: Iterable[tuple[Item, Ballot]], whole: bool = False
+        self, upto: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]], whole: bool = False
     ) -> tuple[list[Write], list[Item]]:
         """All that changed in the settled set since this copy, at the least. An older acceptance yields to
         it. With it, one that has enrolled may hold all that it waits for. `whole`: the rows are the whole
@@ -243,7 +252,7 @@
             return [], []
         rows = list(rows)
         new = self.copy.replace(upto, rows) if whole else self.copy.fold(upto, rows)
-        held = [row(*each) for each in rows if each[0].key in self.copy.items]
+        held = [pack_row(*each) for each in rows if each[0].key in self.copy.items]
         writes: list[Write] = [("items", held), ("meta", "settled", upto)]
         if self.copy.collected:
             writes.append(("drop", [list(key) for key in self.copy.collected]))
@@ -254,7 +263,9 @@
         for item in new:
             if item.key == MEMBERS_KEY:
                 told = item.content.get("disks", {})
-                writes.append(self._note({member: ballot(disk) for member, disk in told.items()}))
+                writes.append(
+                    self._note({member: unpack_proposal_number(disk) for member, disk in told.items()})
+                )
         return [*writes, *self._caught_up()], new
 
     def _caught_up(self) -> list[Write]:
@@ -263,7 +274,7 @@
         self.target, self.voting, self.known, self.enrolled = None, True, True, {}
         return self.first()
 
-    def settle(self, at: Ballot) -> tuple[list[Write], list[Item]] | None:
+    def settle(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
         """What was accepted here at that ballot is settled; None where something else was accepted last."""
         if self.accepted != at or at <= self.copy.upto:
             return None
@@ -274,7 +285,7 @@
     def take_in(self, sender: str, message: Message) -> tuple[list[Write], list[Item]] | None:
         """An answer to `enrol`; None until enough have come. Then what it may have promised and accepted is
         known again; it votes from when it holds all that was settled by then."""
-        noted = ballot(message["disk"])
+        noted = unpack_proposal_number(message["disk"])
         if self.known or self.target is not None or noted < self.disk:
             return None
         if noted > self.disk:  # of this machine's earlier disk: this one has to stand above it
@@ -286,26 +297,28 @@
         for members in sets:
             if sum(member in others for member in members.of) < self.enough(members):
                 return None
-        best = max(others.values(), key=lambda each: ballot(each["s"]))
-        writes = self._promise(max(ballot(each["promised"]) for each in others.values()))
-        last = max(others.values(), key=lambda each: ballot(each["acc"]))
-        if ballot(last["acc"]) > max(self.copy.upto, self.accepted):
-            self.accepted = ballot(last["acc"])
-            self.delta = {item.key: item for item in map(unpacked, last["delta"])}
+        best = max(others.values(), key=lambda each: unpack_proposal_number(each["s"]))
+        writes = self._promise(max(unpack_proposal_number(each["promised"]) for each in others.values()))
+        last = max(others.values(), key=lambda each: unpack_proposal_number(each["acc"]))
+        if unpack_proposal_number(last["acc"]) > max(self.copy.upto, self.accepted):
+            self.accepted = unpack_proposal_number(last["acc"])
+            self.delta = {item.key: item for item in map(unpack_item, last["delta"])}
             writes.append(self._accepted())
         for each in others.values():
-            writes.append(self._note({member: ballot(disk) for member, disk in each["disks"].items()}))
+            writes.append(
+                self._note({member: unpack_proposal_number(disk) for member, disk in each["disks"].items()})
+            )
         if sets[0].epoch == 0:
             self.seeds = sets[0]
-        self.target, new = ballot(best["s"]), []
+        self.target, new = unpack_proposal_number(best["s"]), []
         if best["rows"] is not None:
-            more, new = self.learn(self.target, map(unrow, best["rows"]))
+            more, new = self.learn(self.target, map(unpack_row, best["rows"]))
             writes += more
         return [*writes, *self._caught_up()], new
 
-    def enough(self, members: Members) -> int:
+    def enough(self, members: MemberSet) -> int:
         """So many others that have noted this disk meet each majority that a forgotten one was part of."""
-        return enough_to_enrol(members, self.me)
+        return enrolment_quorum(members, self.me)
 
     def forget(self, chance: str) -> list[Write]:
         """This disk is a copy from before: what was promised and accepted since is forgotten, as if it were
@@ -314,10 +327,10 @@
         self.voting = self.known = False
         return self.first()
 
-    def to_enrol_with(self) -> list[Members]:
+    def to_enrol_with(self) -> list[MemberSet]:
         """The newest set of members that was told, and those that it may be changing to."""
-        told = [Members(each["epoch"], tuple(each["members"])) for each in self.enrolled.values()]
+        told = [MemberSet(each["epoch"], tuple(each["members"])) for each in self.enrolled.values()]
         newest = max([*told, self.members], key=lambda each: each.epoch)  # told before own: seeds may change
-        rows = [unpacked(each) for message in self.enrolled.values() for each in message["delta"]]
-        nexts = [members_of(each) for each in rows if each.key == MEMBERS_KEY]
+        rows = [unpack_item(each) for message in self.enrolled.values() for each in message["delta"]]
+        nexts = [member_set_of(each) for each in rows if each.key == MEMBERS_KEY]
         return [newest, *(each for each in nexts if each.epoch > newest.epoch)]
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -11,42 +11,42 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpacked
-from foxspread.mesh.errors import Broken
+from foxspread.mesh.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpack_item
+from foxspread.mesh.errors import InvariantViolation
 
-Ballot = tuple[int, str]  # a number, and the life of the process that chose it: no two alike
-NONE: Ballot = (0, "")
+ProposalNumber = tuple[int, str]  # a number, and the life of the process that chose it: no two alike
+NONE: ProposalNumber = (0, "")
 Row = list  # kind, name, version, content, number and life of the ballot; what is past, where anything is
-Place = tuple[Ballot, Key]  # of a row in the order of ballots, within one ballot of keys
+Offset = tuple[ProposalNumber, Key]  # of a row in the order of ballots, within one ballot of keys
 LAST: Key = ("\U0010ffff", "")  # after each key of a ballot
-START: Place = (NONE, LAST)
+START: Offset = (NONE, LAST)
 PIECE_BYTES = 64 * 1024  # of rows as JSON in one piece; a larger row goes alone
 STALE_MOST = 64  # places that no row stands at any more, beside as many as there are rows
 
 
-def ballot(told: list | tuple) -> Ballot:
+def unpack_proposal_number(told: list | tuple) -> ProposalNumber:
     return int(told[0]), str(told[1])
 
 
-def row(item: Item, at: Ballot) -> Row:
+def pack_row(item: Item, at: ProposalNumber) -> Row:
     packed = item.packed()
     return [*packed[:4], *at, *packed[4:]]
 
 
-def unrow(told: Row) -> tuple[Item, Ballot]:
-    return unpacked([*told[:4], *told[6:]]), (told[4], told[5])
+def unpack_row(told: Row) -> tuple[Item, ProposalNumber]:
+    return unpack_item([*told[:4], *told[6:]]), (told[4], told[5])
 
 
-def place_of(told: Row) -> Place:
+def offset_of(told: Row) -> Offset:
     return (told[4], told[5]), (told[0], told[1])
 
 
-def whole(upto: Ballot) -> Place:
+def end_of_proposal(upto: ProposalNumber) -> Offset:
     """Where all that changed up to and at that ballot has been passed."""
     return upto, LAST
 
 
-def packed_place(place: Place) -> list | None:
+def pack_offset(place: Offset) -> list | None:
     """Number and life; with kind and name where not all of that ballot has been passed. None: the start."""
     at, key = place
     if place == START:
@@ -54,18 +54,22 @@
     return [*at] if key == LAST else [*at, *key]
 
 
-def place(told: list | None) -> Place:
-    return START if told is None else (ballot(told), (str(told[2]), str(told[3])) if len(told) > 2 else LAST)
+def unpack_offset(told: list | None) -> Offset:
+    return (
+        START
+        if told is None
+        else (unpack_proposal_number(told), (str(told[2]), str(told[3])) if len(told) > 2 else LAST)
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class SnapshotChunk:
     """What a teller has after a place, as far as it goes into one message."""
 
     rows: list[Row]
-    upto: Ballot  # of the teller: with no more to come, all up to it has been passed
+    upto: ProposalNumber  # of the teller: with no more to come, all up to it has been passed
     more: bool
-    horizon: Ballot  # of the teller: what was dropped up to it may be gone without a trace
+    horizon: ProposalNumber  # of the teller: what was dropped up to it may be gone without a trace
     digest: str
 
     def packed(self) -> dict[str, Any]:
@@ -73,25 +77,27 @@
         return told if self.horizon == NONE else {**told, "horizon": self.horizon}
 
 
-def sealed(rows: list[Row], after: Place, upto: Ballot, more: bool, horizon: Ballot) -> str:
+def chunk_digest(
+    rows: list[Row], after: Offset, upto: ProposalNumber, more: bool, horizon: ProposalNumber
+) -> str:
     """A digest of all that a piece says, and of where it begins."""
     body = orjson.dumps([rows, after, upto, more, horizon])
     return blake2b(body, digest_size=12).hexdigest()
 
 
-class Copy:
+class Learner:
     def __init__(self) -> None:
-        self.upto: Ballot = NONE
+        self.upto: ProposalNumber = NONE
         self.items: dict[Key, Item] = {}
-        self.at: dict[Key, Ballot] = {}  # what changed last stands last
-        self.order: list[Place] = []  # of all in `at`, sorted; some stale
+        self.at: dict[Key, ProposalNumber] = {}  # what changed last stands last
+        self.order: list[Offset] = []  # of all in `at`, sorted; some stale
         self.floor = 0  # items dropped at no higher version and no later than `horizon` are collected
-        self.horizon: Ballot = NONE
+        self.horizon: ProposalNumber = NONE
         self.clock = 0  # the agreed clock: the largest time that any item has told
         self.refused_since = 0  # orders refused before that, by this clock, are collected
         self.collected: list[Key] = []  # not held since the last `fold` or `replace`: a disk drops their rows
 
-    def fold(self, upto: Ballot, rows: Iterable[tuple[Item, Ballot]]) -> list[Item]:
+    def fold(self, upto: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]) -> list[Item]:
         """All that changed since `upto` was last folded, at the least; returns what is new here. A version
         never falls: agreed values only grow, and one that does not breaks all that stands on this."""
         new: list[Item] = []
@@ -101,9 +107,11 @@
                 continue
             old = self.items.get(item.key)
             if old is not None and old.version > item.version:
-                raise Broken(f"{item.key}: r{old.version} was settled before r{item.version} at {at}")
+                raise InvariantViolation(
+                    f"{item.key}: r{old.version} was settled before r{item.version} at {at}"
+                )
             if old is not None and _differs(old, item):
-                raise Broken(f"{item.key}: two contents of r{item.version} were settled")
+                raise InvariantViolation(f"{item.key}: two contents of r{item.version} were settled")
             if self._put(item, at) and (old is None or old.version != item.version):
                 new.append(item)
         self.upto = max(self.upto, upto)
@@ -111,19 +119,21 @@
             self.collected = [key for key in dict.fromkeys(self.collected) if key not in self.items]
         return new
 
-    def replace(self, upto: Ballot, rows: Iterable[tuple[Item, Ballot]]) -> list[Item]:
+    def replace(self, upto: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]) -> list[Item]:
         """A whole set in the place of this one, which knows too little of what was dropped: what is not in it
         is gone, and told first, as dropped. Nothing, where this copy is as new."""
         if upto <= self.upto:
             self.collected = []
             return []
-        fresh = Copy()
+        fresh = Learner()
         new = fresh.fold(upto, rows)
         gone = [old for key, old in self.items.items() if key not in fresh.items]
         for key, item in fresh.items.items():
             old = self.items.get(key)
             if old is not None and (old.version > item.version or _differs(old, item)):
-                raise Broken(f"{key}: r{old.version} was settled, and now r{item.version} with the whole set")
+                raise InvariantViolation(
+                    f"{key}: r{old.version} was settled, and now r{item.version} with the whole set"
+                )
         held = self.items
         self.__dict__.update(vars(fresh))
         self.collected = [*fresh.collected, *(old.key for old in gone)]
@@ -136,16 +146,16 @@
             each for each in new if each.key not in held or held[each.key].version != each.version
         ]
 
-    def since(self, ballot: Ballot) -> list[tuple[Item, Ballot]]:
+    def since(self, ballot: ProposalNumber) -> list[tuple[Item, ProposalNumber]]:
         return list(self._since(ballot))[::-1]
 
-    def _since(self, ballot: Ballot) -> Iterator[tuple[Item, Ballot]]:
+    def _since(self, ballot: ProposalNumber) -> Iterator[tuple[Item, ProposalNumber]]:
         for key in reversed(self.at):
             if self.at[key] <= ballot:
                 return
             yield self.items[key], self.at[key]
 
-    def piece(self, after: Place = START, most: int = PIECE_BYTES, bare: bool = False) -> Piece:
+    def piece(self, after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
         """What stands after that place, up to about `most` bytes of JSON; `bare`: as machines without a disk
         are told it."""
         rows, size, more = [], 0, False
@@ -158,21 +168,21 @@
                 if not for_all(item):
                     continue
                 item = item.bare
-            told = row(item, at)
+            told = pack_row(item, at)
             size += len(orjson.dumps(told))
             if rows and size > most:
                 more = True
                 break
             rows.append(told)
-        return Piece(
+        return SnapshotChunk(
             rows,
             self.upto,
             more,
             self.horizon,
-            sealed(rows, after, self.upto, more, self.horizon),
+            chunk_digest(rows, after, self.upto, more, self.horizon),
         )
 
-    def _put(self, item: Item, at: Ballot) -> bool:
+    def _put(self, item: Item, at: ProposalNumber) -> bool:
         """Whether it is held from now on."""
         if item.kind == KEPT:
             self._collect(item, at)
@@ -189,7 +199,7 @@
             self.order = [(at, key) for key, at in self.at.items()]
         return True
 
-    def _collect(self, kept: Item, at: Ballot) -> None:
+    def _collect(self, kept: Item, at: ProposalNumber) -> None:
         """By rules that each copy follows at the same ballot, and that ask nothing but the settled set."""
         if kept.name == "refused":
             self.refused_since = kept.content["t"]
@@ -200,7 +210,10 @@
                 if item.kind == REFUSED and item.content[2] < self.refused_since
             ]
         elif kept.name == "dropped":
-            self.floor, self.horizon = kept.content["floor"], min(ballot(kept.content["at"]), at)
+            self.floor, self.horizon = (
+                kept.content["floor"],
+                min(unpack_proposal_number(kept.content["at"]), at),
+            )
             gone = [
                 key
                 for key, item in self.items.items()
--- a/foxspread/mesh/replication/membership.py
+++ b/foxspread/mesh/replication/membership.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
+class MemberSet:
     epoch: int
     of: tuple[str, ...]  # in order
 
@@ -25,26 +25,26 @@
         return name in self.of
 
 
-def members_of(item: Item) -> Members:
-    return Members(item.version, tuple(sorted(item.content["of"])))
+def member_set_of(item: Item) -> MemberSet:
+    return MemberSet(item.version, tuple(sorted(item.content["of"])))
 
 
-def changed(held: Members, of: Iterable[str], disks: Mapping[str, list] | None = None) -> Item:
+def membership_change(held: MemberSet, of: Iterable[str], disks: Mapping[str, list] | None = None) -> Item:
     """The item that a change to that set is proposed as."""
     return Item(MEMBERS, MEMBERS, held.epoch + 1, {"of": sorted(of), "disks": dict(disks or {})})
 
 
-def one_step(old: Members, new: Members) -> bool:
+def differs_by_one(old: MemberSet, new: MemberSet) -> bool:
     """One machine in or out."""
     return len(set(old.of) ^ set(new.of)) == 1 and bool(new.of)
 
 
-def quorum(sets: Iterable[Members], names: Collection[str]) -> bool:
+def is_quorum(sets: Iterable[MemberSet], names: Collection[str]) -> bool:
     """Whether these are a majority of each of the sets."""
     return all(sum(name in names for name in each.of) >= each.majority for each in sets)
 
 
-def enough_to_enrol(members: Members, me: str) -> int:
+def enrolment_quorum(members: MemberSet, me: str) -> int:
     """So many others meet each majority that `me`'s forgotten disk was or may become part of."""
     size = len({*members.of, me})
     return size - (size // 2 + 1) + 1
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.mesh.configuration.items import Item, Key, unpacked
-from foxspread.mesh.configuration.idempotency import collected, digest_of_order, judged
-from foxspread.mesh.errors import Failure, conflict, unsettled
+from foxspread.mesh.configuration.items import Item, Key, unpack_item
+from foxspread.mesh.configuration.idempotency import collectable, digest_of_change, apply_change
+from foxspread.mesh.errors import Failure, conflict, outcome_unknown
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, Message, Write, sound
-from foxspread.mesh.replication.learner import Ballot, ballot, unrow
-from foxspread.mesh.replication.membership import Members, members_of, one_step, quorum
+from foxspread.mesh.replication.learner import ProposalNumber, unpack_proposal_number, unpack_row
+from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
 
 ROUND_S = 0.45  # for a majority to answer one message: two syncs of a slow disk
 PAUSE_S = 0.012  # after a lost ballot, by chance up to that, doubling
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class PendingCall:
     token: Any
     items: list[Item]
     until: float
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Out:
+class ProposerOutput:
     """What is to be done, in this order: written, sent, told."""
 
     writes: list[Write] = field(default_factory=list)
@@ -51,11 +51,11 @@
     def __init__(self, acceptor: Acceptor, life: str, draw: Callable[[], float]) -> None:
         self.acceptor, self.life, self.draw = acceptor, life, draw
         self.seen = 0
-        self.waiting: list[Call] = []
-        self.running: list[Call] = []
-        self.ballot: Ballot | None = None  # of the round that is under way
+        self.waiting: list[PendingCall] = []
+        self.running: list[PendingCall] = []
+        self.ballot: ProposalNumber | None = None  # of the round that is under way
         self.asked: set[str] = set()  # whom, in this round
-        self.sets: list[Members] = []  # majorities of all these choose the value proposed
+        self.sets: list[MemberSet] = []  # majorities of all these choose the value proposed
         self.promises: dict[str, Message] = {}
         self.accepts: dict[str, Message] = {}
         self.value: dict[Key, Item] | None = None  # the delta proposed; None while preparing
@@ -66,19 +66,19 @@
 
     # Inputs.
 
-    def submit(self, now: float, token: Any, items: Iterable[Item], until: float) -> Out:
+    def submit(self, now: float, token: Any, items: Iterable[Item], until: float) -> ProposerOutput:
         """`until`: when it ends as not known. No items: a read, done once this copy holds all that is
         settled."""
         items = list(items)
-        self.waiting.append(Call(token, items, until, digest_of_order(items) if items else ""))
+        self.waiting.append(PendingCall(token, items, until, digest_of_change(items) if items else ""))
         return self.tick(now)
 
-    def nudge(self, now: float) -> Out:
+    def nudge(self, now: float) -> ProposerOutput:
         self.wanted = True
         return self.tick(now)
 
-    def tick(self, now: float) -> Out:
-        out = Out()
+    def tick(self, now: float) -> ProposerOutput:
+        out = ProposerOutput()
         if (clock := self.acceptor.copy.clock) > self.noticed[0]:
             self.noticed = clock, now
         self._expire(now, out)
@@ -88,9 +88,9 @@
             self._begin(now, out)
         return out
 
-    def reached(self, member: str) -> Out:
+    def reached(self, member: str) -> ProposerOutput:
         """A link to that member has come up: it may have missed what is being asked."""
-        out = Out()
+        out = ProposerOutput()
         if self.ballot is not None and member in self.asked:
             out.sends.append((member, self._prepare() if self.value is None else self._accept_of(member)))
         return out
@@ -103,13 +103,13 @@
             times.append(self.start_at)
         return min(times, default=None)
 
-    def heard(self, now: float, sender: str, message: Message) -> Out:
-        out, kind = Out(), message["t"]
+    def heard(self, now: float, sender: str, message: Message) -> ProposerOutput:
+        out, kind = ProposerOutput(), message["t"]
         if sender not in self.asked:
             return out
         if kind == "nack":
             self.seen = max(self.seen, message["promised"][0])
-        if self.ballot is None or ballot(message["b"]) != self.ballot:
+        if self.ballot is None or unpack_proposal_number(message["b"]) != self.ballot:
             return out
         if kind == "nack":
             self._lost(now, self.draw())
@@ -120,23 +120,23 @@
             self.promises[sender] = message
             self._promised(now, out)
         elif kind == "behind" and self.value is not None:
-            if (accept := self._accept(ballot(message["s"])))["ahead"] is not None:
+            if (accept := self._accept(unpack_proposal_number(message["s"])))["ahead"] is not None:
                 out.sends.append((sender, accept))  # else it takes what it lacks in pieces
         elif kind == "accepted" and self.value is not None:
             self.accepts[sender] = message
-            if quorum(self.sets, sound(self.accepts)):
+            if is_quorum(self.sets, sound(self.accepts)):
                 self._chosen(now, out)
         return out
 
     # A round.
 
-    def _expire(self, now: float, out: Out) -> None:
+    def _expire(self, now: float, out: ProposerOutput) -> None:
         for calls in (self.waiting, self.running):
             for call in [each for each in calls if now >= each.until]:
                 calls.remove(call)
-                out.done.append((call.token, unsettled("no majority in time")))
+                out.done.append((call.token, outcome_unknown("no majority in time")))
 
-    def _begin(self, now: float, out: Out) -> None:
+    def _begin(self, now: float, out: ProposerOutput) -> None:
         self.seen = max(self.seen, self.acceptor.promised[0], self.acceptor.copy.upto[0]) + 1
         self.ballot, self.value, self.promises, self.accepts = (self.seen, self.life), None, {}, {}
         self.round_until, self.wanted = now + ROUND_S, False
@@ -144,7 +144,7 @@
         self.waiting, self.asked = [], set()
         self._ask([self.acceptor.members], out)
 
-    def _ask(self, sets: list[Members], out: Out) -> None:
+    def _ask(self, sets: list[MemberSet], out: ProposerOutput) -> None:
         """All of these that have not been asked in this round."""
         ask = self._prepare()
         for member in (member for each in sets for member in each.of):
@@ -160,31 +160,31 @@
             "s": self.acceptor.copy.upto,
         }
 
-    def _learn(self, told: Message, out: Out) -> bool:
+    def _learn(self, told: Message, out: ProposerOutput) -> bool:
         """What another has settled beyond this copy; False where that is too much for its message."""
-        if ballot(told["s"]) <= self.acceptor.copy.upto:
+        if unpack_proposal_number(told["s"]) <= self.acceptor.copy.upto:
             return True
         if told["ahead"] is None:
             return False
-        writes, new = self.acceptor.learn(ballot(told["s"]), map(unrow, told["ahead"]))
+        writes, new = self.acceptor.learn(unpack_proposal_number(told["s"]), map(unpack_row, told["ahead"]))
         out.writes += writes
         out.new += new
         return True
 
-    def _promised(self, now: float, out: Out) -> None:
+    def _promised(self, now: float, out: ProposerOutput) -> None:
         """Whether enough have promised: a majority of the members, and of those that they may be changing
         to."""
         acceptor, promises = self.acceptor, sound(self.promises)
-        newest = max(promises.values(), key=lambda each: ballot(each["s"]), default=None)
+        newest = max(promises.values(), key=lambda each: unpack_proposal_number(each["s"]), default=None)
         if newest is not None and not self._learn(newest, out):
             return self._lost(now, 1.0)  # what is lacking comes in pieces
         sets = [acceptor.members]
-        last = max(promises.values(), key=lambda each: ballot(each["acc"]), default=None)
-        if last is not None and ballot(last["acc"]) > acceptor.copy.upto:
-            changes = [item for item in map(unpacked, last["delta"]) if item.key == MEMBERS_KEY]
-            sets += [members_of(item) for item in changes if item.version > acceptor.epoch]
+        last = max(promises.values(), key=lambda each: unpack_proposal_number(each["acc"]), default=None)
+        if last is not None and unpack_proposal_number(last["acc"]) > acceptor.copy.upto:
+            changes = [item for item in map(unpack_item, last["delta"]) if item.key == MEMBERS_KEY]
+            sets += [member_set_of(item) for item in changes if item.version > acceptor.epoch]
         self._ask(sets, out)
-        if quorum(sets, promises):
+        if is_quorum(sets, promises):
             self.promises = promises
             self._propose(now, out)
 
@@ -193,46 +193,48 @@
         self.wanted = self.wanted or not self.running
         self.start_at = now + draw * min(PAUSE_MOST_S, PAUSE_S * 2**self.losses)
 
-    def _propose(self, now: float, out: Out) -> None:
+    def _propose(self, now: float, out: ProposerOutput) -> None:
         acceptor = self.acceptor
-        last = max(self.promises.values(), key=lambda each: ballot(each["acc"]))
+        last = max(self.promises.values(), key=lambda each: unpack_proposal_number(each["acc"]))
         held, delta = acceptor.copy.items, {}
-        open_before = ballot(last["acc"]) > acceptor.copy.upto  # it may be settled, unknown to us: it goes on
+        open_before = (
+            unpack_proposal_number(last["acc"]) > acceptor.copy.upto
+        )  # it may be settled, unknown to us: it goes on
         if open_before:
-            delta = {item.key: item for item in map(unpacked, last["delta"]) if held.get(item.key) != item}
+            delta = {item.key: item for item in map(unpack_item, last["delta"]) if held.get(item.key) != item}
         for call in self.running:
             changes, call.outcome = self._judged({**held, **delta} if delta else held, delta, call, now)
             delta.update(changes)
         if delta:
-            delta.update(collected({**held, **delta}, acceptor.copy.at))
+            delta.update(collectable({**held, **delta}, acceptor.copy.at))
         if not delta and not open_before:
             return self._tell(out)
         self.value, self.round_until = delta, now + ROUND_S
         self.sets = [acceptor.members]
         if (change := delta.get(MEMBERS_KEY)) is not None:
-            self.sets.append(members_of(change))
+            self.sets.append(member_set_of(change))
         for member in dict.fromkeys(member for each in self.sets for member in each.of):
             self.asked.add(member)
             out.sends.append((member, self._accept_of(member)))
 
     def _judged(
-        self, both: dict[Key, Item], delta: dict[Key, Item], call: Call, now: float
+        self, both: dict[Key, Item], delta: dict[Key, Item], call: PendingCall, now: float
     ) -> tuple[dict[Key, Item], bool | Failure]:
         """`both`: what is settled and what this value adds to it, the latter alone in `delta`."""
         acceptor, by_key = self.acceptor, {item.key: item for item in call.items}
         if (change := by_key.get(MEMBERS_KEY)) is not None:
             if MEMBERS_KEY in delta:
-                return {}, unsettled("another change of members is not settled yet")
-            if not one_step(acceptor.members, members_of(change)):
+                return {}, outcome_unknown("another change of members is not settled yet")
+            if not differs_by_one(acceptor.members, member_set_of(change)):
                 return {}, conflict("members change by one machine at a time")
         clock, at = self.noticed
-        return judged(both, call.items, call.named, clock + SLOWER * max(0.0, now - at))
+        return apply_change(both, call.items, call.named, clock + SLOWER * max(0.0, now - at))
 
     def _accept_of(self, member: str) -> Message:
         promise = self.promises.get(member)
-        return self._accept(ballot(promise["s"]) if promise else self.acceptor.copy.upto)
+        return self._accept(unpack_proposal_number(promise["s"]) if promise else self.acceptor.copy.upto)
 
-    def _accept(self, since: Ballot) -> Message:
+    def _accept(self, since: ProposalNumber) -> Message:
         """For one whose settled set is as of `since`."""
         copy = self.acceptor.copy  # may know more by now than at the proposal: the delta goes over that too
         return {
@@ -246,13 +248,13 @@
             "ahead": self.acceptor.rows(since),
         }
 
-    def _chosen(self, now: float, out: Out) -> None:
+    def _chosen(self, now: float, out: ProposerOutput) -> None:
         at = self.ballot
         writes, new = self.acceptor.learn(at, [(item, at) for item in self.value.values()])
         out.writes += writes
         out.new += new
         self._tell(out)
 
-    def _tell(self, out: Out) -> None:
+    def _tell(self, out: ProposerOutput) -> None:
         out.done += [(call.token, call.outcome) for call in self.running]
         self.running, self.ballot, self.losses, self.start_at = [], None, 0, 0.0
--- a/foxspread/mesh/replication/quorum_contact.py
+++ b/foxspread/mesh/replication/quorum_contact.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.mesh.replication.learner import NONE, Ballot
-from foxspread.mesh.replication.storage import older
-from foxspread.mesh.replication.membership import Members, quorum
+from foxspread.mesh.replication.learner import NONE, ProposalNumber
+from foxspread.mesh.replication.storage import is_older
+from foxspread.mesh.replication.membership import MemberSet, is_quorum
 
 TELL_S = 1.5  # older than that, nothing of the settled set is told to sidecars
 ASK_S = 0.3  # between askings
@@ -27,8 +27,8 @@
     member: str  # its control address
     votes: bool = False  # its promises and acceptances are all known to it
     epoch: int = 0  # of the members that it holds settled
-    settled: Ballot = NONE
-    seen: Ballot = NONE  # the newest that it has accepted or settled
+    settled: ProposalNumber = NONE
+    seen: ProposalNumber = NONE  # the newest that it has accepted or settled
     zone: str = ""
     leaving: bool = False
     hears: tuple[str, ...] = ()  # keepers that it has heard within the last second, itself included
@@ -48,7 +48,7 @@
         }
 
 
-def report(told: dict) -> Report:
+def unpack_report(told: dict) -> Report:
     return Report(
         str(told["member"]),
         bool(told["votes"]),
@@ -63,18 +63,18 @@
 
 
 @dataclass(slots=True)
-class Asking:
+class ContactRound:
     number: int
     at: float
-    answers: dict[str, Ballot] = field(default_factory=dict)  # by voting member: what it had seen
+    answers: dict[str, ProposalNumber] = field(default_factory=dict)  # by voting member: what it had seen
 
 
-class Contact:
+class QuorumContact:
     """`first`: the number of the first asking, by chance, so that no answer to an earlier life counts."""
 
     def __init__(self, me: str, first: int = 0) -> None:
         self.me, self.number = me, first
-        self.askings: list[Asking] = []  # those that may still tell something newer, oldest first
+        self.askings: list[ContactRound] = []  # those that may still tell something newer, oldest first
         self.as_of: float | None = None  # all that was acknowledged before is held here
         self.epoch = 0  # the latest that anyone has told
         self.reports: dict[str, tuple[Report, float]] = {}  # the newest of each other keeper, when it came
@@ -87,7 +87,7 @@
             return None
         self.next_at = now + ASK_S
         self.number += 1
-        asking = Asking(self.number, now)
+        asking = ContactRound(self.number, now)
         self._count(asking, own)
         self.askings = [*self.askings[-ROUNDS_MOST + 1 :], asking]
         return {"t": "contact", "n": self.number}
@@ -98,7 +98,7 @@
 
     def heard(self, now: float, sender: str, message: dict[str, Any]) -> None:
         """An answer of that keeper."""
-        told = report(message)
+        told = unpack_report(message)
         if told.member != sender:
             return
         self.reports.pop(sender, None)
@@ -109,13 +109,13 @@
             if asking.number == message["n"]:
                 self._count(asking, told)
 
-    def held(self, members: Members, upto: Ballot) -> None:
+    def held(self, members: MemberSet, upto: ProposalNumber) -> None:
         """The agreed members and the ballot of the settled set, as held here now; asked before each `age`."""
         if members.epoch < self.epoch:
             return  # others have agreed on another set: a majority of this one may be none
         for place in range(len(self.askings) - 1, -1, -1):
             asking = self.askings[place]
-            if quorum([members], asking.answers.keys()) and upto >= max(
+            if is_quorum([members], asking.answers.keys()) and upto >= max(
                 seen for name, seen in asking.answers.items() if name in members
             ):
                 self.as_of = asking.at
@@ -133,27 +133,31 @@
     def hears(self, now: float) -> tuple[str, ...]:
         return tuple(sorted({self.me} | {m for m, (_, at) in self.reports.items() if now - at <= HEARD_S}))
 
-    def _count(self, asking: Asking, told: Report) -> None:
+    def _count(self, asking: ContactRound, told: Report) -> None:
         self.epoch = max(self.epoch, told.epoch)
         if told.votes:
             asking.answers[told.member] = told.seen
 
 
-class Starts:
+class StartHistory:
     """What the disks of other keepers have told of themselves, by which one that is a copy from before is
     found out: it began fewer times, or has less promised on it, than it had told. Of the keepers heard last
     only, by this process."""
 
     def __init__(self) -> None:
-        self.of: dict[str, tuple[str, Ballot, int, Ballot]] = {}  # life, identity, starts, promised
+        self.of: dict[
+            str, tuple[str, ProposalNumber, int, ProposalNumber]
+        ] = {}  # life, identity, starts, promised
 
-    def told(self, member: str, life: str, disk: Ballot, boots: int, promised: Ballot) -> bool:
+    def told(
+        self, member: str, life: str, disk: ProposalNumber, boots: int, promised: ProposalNumber
+    ) -> bool:
         """Whether that disk is older than one of that machine that has told before."""
         held = self.of.pop(member, None)
         new = life, disk, boots, promised
         if held is not None:
             same = held[1] == disk
-            if life != held[0] and (disk[0] < held[1][0] or same and older(boots, promised, [held[2:]])):
+            if life != held[0] and (disk[0] < held[1][0] or same and is_older(boots, promised, [held[2:]])):
                 self.of[member] = held
                 return True
             if life == held[0] and same:  # it may have been under way for long
--- a/foxspread/mesh/replication/reconfiguration.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -17,11 +17,11 @@
 from dataclasses import dataclass
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item
-from foxspread.mesh.log import say
+from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.replication.quorum_contact import Report
-from foxspread.mesh.replication.learner import Ballot, Copy
-from foxspread.mesh.replication.membership import Members, changed, quorum
+from foxspread.mesh.replication.learner import ProposalNumber, Learner
+from foxspread.mesh.replication.membership import MemberSet, membership_change, is_quorum
 
 LEAST = 3  # members, where there are so many machines: fewer bear nothing
 FRESH_S = 1.0  # a report older than that says nothing
@@ -45,14 +45,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class ClusterView:
     """What is known here at one time. A change of what is in it, by another process, is not waited for."""
 
     me: str
-    members: Members
+    members: MemberSet
     lease: Item | None  # as settled here
     reports: Mapping[str, tuple[float, Report]]  # of keepers, this one too: when heard, and what
-    upto: Ballot  # of this machine's settled set
+    upto: ProposalNumber  # of this machine's settled set
     machines: int = 1  # to be borne at once
     zones: int = 0
     age: float | None = None  # seconds since the last contact with a majority; None: none yet
@@ -62,13 +62,13 @@
         cls,
         now: float,
         own: Report,
-        members: Members,
-        copy: Copy,
+        members: MemberSet,
+        copy: Learner,
         heard: Mapping[str, tuple[Report, float]],
         age: float | None,
         machines: int,
         zones: int,
-    ) -> "View":
+    ) -> "ClusterView":
         """`heard`: the newest report of each other keeper, and when it came, as `Contact` has them."""
         reports = {name: (at, report) for name, (report, at) in heard.items()}
         reports[own.member] = now, own
@@ -77,12 +77,12 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class SubmittedChange:
     at: float
     lease: int  # the version asked for
 
 
-def wanted(machines: int, zones: int, of: Mapping[str, str]) -> int:
+def target_size(machines: int, zones: int, of: Mapping[str, str]) -> int:
     """Members that bear the loss of so many machines, or of so many zones; `of`: the zones of the keepers.
     With fewer zones than two for each to be lost, and one, no number bears it."""
     size, there = max(LEAST, 2 * machines + 1, 2 * zones + 1), len(set(of.values()))
@@ -96,11 +96,11 @@
     return [size // zones + (place < size % zones) for place in range(zones)]
 
 
-class Replacement:
+class Reconfiguration:
     def __init__(self, me: str, life: str, draw: Callable[[], float]) -> None:
         """`draw`: a number from 0 up to 1."""
         self.me, self.life, self.draw = me, life, draw
-        self.asked: Asked | None = None
+        self.asked: SubmittedChange | None = None
         self.held: tuple[int, float] | None = None  # version of the lease, and until when it is acted on
         self.lease: tuple[int, float] = (-1, 0.0)  # the version seen, and since when
         self.need: tuple[float, float] | None = (
@@ -115,12 +115,12 @@
         self.well: dict[str, float] = {}  # standbys without a flaw, since when
         self.lost: dict[str, float] = {}  # keepers that were missed, when last; kept for `LATELY_S`
         self.leaving_since: float | None = None
-        self.settled: deque[tuple[float, Ballot]] = deque()  # since when that much is settled here
+        self.settled: deque[tuple[float, ProposalNumber]] = deque()  # since when that much is settled here
 
     def tend(
         self,
         clock: Callable[[], float],
-        view: View,
+        view: ClusterView,
         ask: Callable[[list[Item], Callable[[bool | Failure], None]], object],
     ) -> None:
         """One step, its call put to the register by `ask`, and the outcome told."""
@@ -129,7 +129,7 @@
 
     # Inputs.
 
-    def step(self, now: float, view: View) -> list[Item] | None:
+    def step(self, now: float, view: ClusterView) -> list[Item] | None:
         """A call to be put to the register, with its outcome to `told`; None: nothing is to be done now."""
         self._see(now, view)
         if self.asked is not None or not self._fit(now, view):
@@ -144,7 +144,9 @@
             return None
         version = view.lease.version if view.lease is not None else 0
         if self.held is not None and self.held[0] == version and now < self.held[1] - SPARE_S:
-            return self._ask(now, version + 1, [changed(view.members, change, _disks(view, change))])
+            return self._ask(
+                now, version + 1, [membership_change(view.members, change, _disks(view, change))]
+            )
         if now >= self._turn(view) and self._free(now, view.lease):
             return self._ask(now, version + 1, [])
         return None
@@ -161,7 +163,7 @@
         self.failures = min(self.failures + 1, 8)
         self.pause_until = now + pause * (0.5 + 0.5 * self.draw())
 
-    def may_go(self, now: float, view: View) -> bool:
+    def may_go(self, now: float, view: ClusterView) -> bool:
         """Whether this machine, which leaves, may end: it is no member any more, or none stands by to take
         its place; in both cases a majority of the members hold what it holds, without it. Or `LEAVE_S` is
         over."""
@@ -184,7 +186,7 @@
 
     # What is seen.
 
-    def _see(self, now: float, view: View) -> None:
+    def _see(self, now: float, view: ClusterView) -> None:
         if self.stepped is not None and now - self.stepped > GAP_S:  # asleep: others may have come and gone
             self.missed, self.dumb, self.well, self.need, self.held = {}, {}, {}, None, None
             self.lease = (-1, 0.0)
@@ -198,7 +200,7 @@
         if self.epoch != view.members.epoch:
             if self.epoch is not None:
                 self.epochs.append(now)
-                say("members", epoch=view.members.epoch, of=",".join(view.members.of))
+                log_event("members", epoch=view.members.epoch, of=",".join(view.members.of))
             self.epoch, self.need = view.members.epoch, None
         while self.epochs and now - self.epochs[0] >= CHANGES_S:
             self.epochs.popleft()
@@ -225,34 +227,36 @@
             else:
                 self.well.pop(name, None)
 
-    def _note_settled(self, now: float, upto: Ballot) -> None:
+    def _note_settled(self, now: float, upto: ProposalNumber) -> None:
         if not self.settled or self.settled[-1][1] != upto:
             self.settled.append((now, upto))
         while len(self.settled) > 1 and self.settled[1][0] <= now - FRESH_S - LAG_S:
             self.settled.popleft()
 
-    def _holds(self, view: View, name: str) -> bool:
+    def _holds(self, view: ClusterView, name: str) -> bool:
         """Whether that keeper has told that it holds what was settled here when it was asked: while changes
         go on, its report is always older than the newest of them."""
         at, report = view.reports[name]
         before = [upto for since, upto in self.settled if since <= at - LAG_S]
         return report.settled >= (before[-1] if before else self.settled[0][1])
 
-    def _since(self, now: float, of: dict[str, float], holds: Callable[[str], bool], view: View) -> None:
+    def _since(
+        self, now: float, of: dict[str, float], holds: Callable[[str], bool], view: ClusterView
+    ) -> None:
         for name in {*of, *view.members.of}:
             if name in view.members and holds(name):
                 of.setdefault(name, now)
             else:
                 of.pop(name, None)
 
-    def _fresh(self, now: float, view: View, name: str) -> Report | None:
+    def _fresh(self, now: float, view: ClusterView, name: str) -> Report | None:
         at, report = view.reports.get(name, (now - FRESH_S - 1, None))
         return report if now - at <= FRESH_S else None
 
-    def _unheard(self, view: View, fresh: Mapping[str, Report], name: str) -> int:
+    def _unheard(self, view: ClusterView, fresh: Mapping[str, Report], name: str) -> int:
         return sum(name not in report.hears for other, report in fresh.items() if other != name)
 
-    def _fit(self, now: float, view: View) -> bool:
+    def _fit(self, now: float, view: ClusterView) -> bool:
         own = self._fresh(now, view, self.me)
         return (
             self.me in view.members
@@ -266,7 +270,7 @@
 
     # What is to be done.
 
-    def next(self, now: float, view: View) -> tuple[str, ...] | None:
+    def next(self, now: float, view: ClusterView) -> tuple[str, ...] | None:
         """The set after the next change; None: it is to stay, or has to be waited for."""
         if len(self.epochs) >= CHANGES_MOST:
             return None
@@ -281,7 +285,7 @@
         leaving = {m for m, report in reports.items() if report.leaving}
         standbys = self._standbys(now, view)
         zones = self._zones(view)
-        size = wanted(view.machines, view.zones, zones)
+        size = target_size(view.machines, view.zones, zones)
         odd = len(members.of) % 2 == 1
         bad = [*sorted(gone), *sorted(leaving)]
         after: set[str] | None = None
@@ -295,10 +299,10 @@
         if after is None:
             return None
         voting = {*reports, *(after - set(members.of))}
-        new = Members(members.epoch + 1, tuple(sorted(after)))
-        return new.of if quorum((members, new), voting) else None
+        new = MemberSet(members.epoch + 1, tuple(sorted(after)))
+        return new.of if is_quorum((members, new), voting) else None
 
-    def _standbys(self, now: float, view: View) -> list[str]:
+    def _standbys(self, now: float, view: ClusterView) -> list[str]:
         """Those that could be named now; what they hold is by their own word."""
         return [
             name
@@ -309,7 +313,7 @@
         ]
 
     def _out(
-        self, members: Members, bad: list[str], zones: Mapping[str, str], surplus: bool
+        self, members: MemberSet, bad: list[str], zones: Mapping[str, str], surplus: bool
     ) -> set[str] | None:
         if len(members.of) <= LEAST or not bad and not surplus:
             return None
@@ -318,23 +322,23 @@
         full = Counter(zones.get(name, "") for name in members.of)
         return set(members.of) - {max(members.of, key=lambda name: (full[zones.get(name, "")], name))}
 
-    def _best(self, standbys: list[str], members: Members, bad: list[str], zones: Mapping[str, str]) -> str:
+    def _best(self, standbys: list[str], members: MemberSet, bad: list[str], zones: Mapping[str, str]) -> str:
         """Of the zone with the fewest members that stay; then the one that has been well longest."""
         full = Counter(zones.get(name, "") for name in members.of if name not in bad)
         return min(standbys, key=lambda name: (full[zones.get(name, "")], self.well[name], name))
 
-    def _lopsided(self, members: Members, best: str, zones: Mapping[str, str]) -> bool:
+    def _lopsided(self, members: MemberSet, best: str, zones: Mapping[str, str]) -> bool:
         """Whether one of the fullest zone less, and that standby more, is evener: by two, or it would
         swing."""
         full = Counter(zones.get(name, "") for name in members.of)
         return max(full.values()) - full[zones.get(best, "")] >= 2
 
-    def _zones(self, view: View) -> dict[str, str]:
+    def _zones(self, view: ClusterView) -> dict[str, str]:
         return {name: report.zone for name, (_, report) in view.reports.items()}
 
     # The lease.
 
-    def _turn(self, view: View) -> float:
+    def _turn(self, view: ClusterView) -> float:
         """The holder first, then in order; others see by then that the lease is taken."""
         holder = view.lease.content["holder"] if view.lease is not None else None
         able = [
@@ -358,16 +362,18 @@
         return {"holder": self.me, "life": self.life}
 
     def _ask(self, now: float, version: int, items: list[Item]) -> list[Item]:
-        self.asked = Asked(now, version)
-        say("members_duty", lease=version, asks="a change" if items else "the lease", failures=self.failures)
+        self.asked = SubmittedChange(now, version)
+        log_event(
+            "members_duty", lease=version, asks="a change" if items else "the lease", failures=self.failures
+        )
         return [Item(LEASE, MEMBERS, version, self._name()), *items]
 
 
-def _well(report: Report, view: View) -> bool:
+def _well(report: Report, view: ClusterView) -> bool:
     """It votes, and holds the set that is agreed, or a newer one, with all that was settled before."""
     return report.votes and report.epoch >= view.members.epoch
 
 
-def _disks(view: View, of: tuple[str, ...]) -> dict[str, list]:
+def _disks(view: ClusterView, of: tuple[str, ...]) -> dict[str, list]:
     """Which disks the members have, as far as told: whoever settles the change knows of these."""
     return {name: list(view.reports[name][1].disk) for name in of if name in view.reports}
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Iterable
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.log import say
-from foxspread.mesh.errors import Failure, unsettled
-from foxspread.mesh.replication.learner import NONE, Ballot, unrow
+from foxspread.mesh.log import log_event
+from foxspread.mesh.errors import Failure, outcome_unknown
+from foxspread.mesh.replication.learner import NONE, ProposalNumber, unpack_row
 from foxspread.mesh.replication.acceptor import Message, Acceptor, Write
-from foxspread.mesh.replication.proposer import Out, Proposer
+from foxspread.mesh.replication.proposer import ProposerOutput, Proposer
 
 ASKED = ("prepare", "accept")  # of an acceptor
 TOLD = ("promise", "nack", "behind", "stale", "accepted")  # to a proposer
@@ -41,12 +41,12 @@
         self.proposer: Proposer | None = None
         self.calls: dict[int, Tell] = {}
         self.count = 0
-        self.unsettled_at: tuple[Ballot, float] | None = None
+        self.unsettled_at: tuple[ProposalNumber, float] | None = None
         self.fresh = False  # since its start it has seen all that was settled before
         self.reading = False
         self.next_enrol = 0.0
         self.caught_up = False
-        self.durable: Ballot = NONE  # promised, and on disk
+        self.durable: ProposalNumber = NONE  # promised, and on disk
         self.others: Callable[[], Iterable[str]] = tuple  # machines with a disk that can be reached
 
     def begin(self, acceptor: Acceptor) -> None:
@@ -59,7 +59,7 @@
         """Tells True, or a failure, within `patience` seconds; without items a read: True once this copy is
         as new as any."""
         if self.acceptor is None or not self.acceptor.serves:
-            return tell(unsettled("the state is not known here yet"))
+            return tell(outcome_unknown("the state is not known here yet"))
         self.count += 1
         self.calls[self.count] = tell
         self._do(self.proposer.submit(self.clock(), self.count, items, self.clock() + patience))
@@ -81,16 +81,16 @@
         elif kind in TOLD:
             self._do(self.proposer.heard(self.clock(), sender, message))
 
-    def learn(self, upto: Ballot, rows: list, whole: bool = False) -> None:
+    def learn(self, upto: ProposalNumber, rows: list, whole: bool = False) -> None:
         """News of the settled set, from another copy; `whole`: all of it, in the place of this one."""
         if self.acceptor is not None:
-            self._learnt(*self.acceptor.learn(upto, map(unrow, rows), whole))
+            self._learnt(*self.acceptor.learn(upto, map(unpack_row, rows), whole))
 
     def found_older(self, chance: str) -> None:
         """Others have heard later things of this machine's disk: it enrols anew. `chance`: of its new
         identity."""
         if self.acceptor is not None and self.acceptor.known:
-            say("disk_older", disk=self.acceptor.disk, boots=self.acceptor.boots)
+            log_event("disk_older", disk=self.acceptor.disk, boots=self.acceptor.boots)
             self.put(self.acceptor.forget(chance), lambda: None)
             self.caught_up, self.fresh, self.next_enrol = False, False, 0.0
 
@@ -98,10 +98,10 @@
         self.put(writes, lambda: None)
         if self.acceptor.known and not self.caught_up:
             self.caught_up = True
-            say("caught_up", members=len(self.acceptor.members.of), upto=self.acceptor.copy.upto[0])
+            log_event("caught_up", members=len(self.acceptor.members.of), upto=self.acceptor.copy.upto[0])
         self.settled(new)
 
-    def peer_settled(self, at: Ballot) -> None:
+    def peer_settled(self, at: ProposalNumber) -> None:
         """Another has settled that: if it is what was accepted here, nothing need be pulled."""
         if (
             self.acceptor is not None
@@ -148,7 +148,7 @@
         self.reading = False
         if outcome is True and not self.fresh:
             self.fresh = True
-            say("state_known", upto=self.acceptor.copy.upto[0], items=len(self.acceptor.copy.items))
+            log_event("state_known", upto=self.acceptor.copy.upto[0], items=len(self.acceptor.copy.items))
             self.settled([])
 
     def _answer(self, sender: str, writes: list[Write], reply: Message | None, new: list[Item]) -> None:
@@ -169,7 +169,7 @@
         else:
             self.send(to, message)
 
-    def _do(self, out: Out) -> None:
+    def _do(self, out: ProposerOutput) -> None:
         if out.writes:
             self.put(out.writes, lambda: None)
         for to, message in out.sends:
--- a/foxspread/mesh/replication/replica_server.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -6,23 +6,23 @@
 from collections.abc import Callable
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.replication.storage import Disk
+from foxspread.mesh.replication.storage import Storage
 from foxspread.mesh.replication.acceptor import Message
 from foxspread.mesh.replication.quorum_contact import Report
-from foxspread.mesh.replication.membership import Members
+from foxspread.mesh.replication.membership import MemberSet
 from foxspread.mesh.replication.replica import PATIENCE_S, Replica
 
 ITEM_S = 0.0005  # more for each item of a call: a large one takes its time at each step
 CUT_OFF_S = 0.3  # for a call on a keeper without contact to a majority: its caller is to go elsewhere soon
 
 
-class Keeper(Replica):
+class ReplicaServer(Replica):
     def __init__(
         self,
         clock: Callable[[], float],
         life: str,
         draw: Callable[[], float],
-        disk: Disk,
+        disk: Storage,
         send: Callable[[str, Message], bool],
         settled: Callable[[list[Item]], None],
     ) -> None:
@@ -31,7 +31,7 @@
         self.patience: Callable[[], float] = lambda: PATIENCE_S  # for a call that comes now, seconds
 
     @property
-    def members(self) -> Members:
+    def members(self) -> MemberSet:
         """The agreed members, as settled here."""
         return self.acceptor.members
 
--- a/foxspread/mesh/replication/snapshot_transfer.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -13,16 +13,16 @@
 from foxspread.mesh.replication.learner import (
     NONE,
     START,
-    Ballot,
-    Copy,
-    Place,
+    ProposalNumber,
+    Learner,
+    Offset,
     Row,
-    ballot,
-    packed_place,
-    place,
-    place_of,
-    sealed,
-    whole,
+    unpack_proposal_number,
+    pack_offset,
+    unpack_offset,
+    offset_of,
+    chunk_digest,
+    end_of_proposal,
 )
 
 Message = dict[str, Any]
@@ -35,32 +35,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReceivedRows:
     """The whole of what was lacking."""
 
-    upto: Ballot
+    upto: ProposalNumber
     rows: list[Row]
     replaced: bool  # it is the whole set, in the place of what is held: `Copy.replace`
     age: float | None  # seconds for which something newer that was acknowledged may be missing
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class ChunkRequest:
     peer: Hashable
-    after: Place
+    after: Offset
     at: float
 
 
-class CatchUp:
-    def __init__(self, copy: Copy, draw: Callable[[], float], bytes_a_second: float = float("inf")) -> None:
+class SnapshotTransfer:
+    def __init__(
+        self, copy: Learner, draw: Callable[[], float], bytes_a_second: float = float("inf")
+    ) -> None:
         """`copy`: what is held here; whoever is handed a `Taken` folds it in there. `bytes_a_second`: of rows
         as JSON, asked for at the most."""
         self.copy, self.draw, self.bytes_a_second = copy, draw, bytes_a_second
-        self.has: dict[Hashable, Ballot] = {}
+        self.has: dict[Hashable, ProposalNumber] = {}
         self.shunned: dict[Hashable, float] = {}
         self.count = 0
-        self.askings: dict[int, Asking] = {}
-        self.waiting: Asking | None = None  # for its answer, until `until`
+        self.askings: dict[int, ChunkRequest] = {}
+        self.waiting: ChunkRequest | None = None  # for its answer, until `until`
         self.until = self.next_at = 0.0
         self.patience = ASKED_S
         self._begin(anew=False)
@@ -70,13 +72,15 @@
         self.anew, self.staged = anew, {}
         self.started = False
         self.cursor = START
-        self.since: Ballot | None = None  # no teller of what is staged, and not what is held here, was older
+        self.since: ProposalNumber | None = (
+            None  # no teller of what is staged, and not what is held here, was older
+        )
         self.ceiling = NONE  # the newest of these tellers
         self.below_since: float | None = None  # no peer holds as much as that
         self.waiting = None
         self.askings.clear()
 
-    def told(self, peer: Hashable, upto: Ballot) -> None:
+    def told(self, peer: Hashable, upto: ProposalNumber) -> None:
         """What that peer says it holds, of late."""
         self.has[peer] = upto
 
@@ -110,34 +114,34 @@
         if not self.behind or now < self.next_at:
             return []
         if not self.started:
-            self.cursor = START if self.anew else whole(self.copy.upto)
+            self.cursor = START if self.anew else end_of_proposal(self.copy.upto)
             self.since = None if self.cursor == START else self.copy.upto
         peer = self._peer(now)
         if peer is None:
             return []
         self.count += 1
-        self.waiting = self.askings[self.count] = Asking(peer, self.cursor, now)
+        self.waiting = self.askings[self.count] = ChunkRequest(peer, self.cursor, now)
         self.askings.pop(self.count - ASKINGS_MOST, None)
         self.until = now + self.patience
-        message = {"t": "piece", "n": self.count, "after": packed_place(self.cursor)}
+        message = {"t": "piece", "n": self.count, "after": pack_offset(self.cursor)}
         if self.since is not None and self.since != self.cursor[0]:
             message["since"] = self.since
         return [(peer, message)]
 
-    def heard(self, now: float, peer: Hashable, message: Message) -> Taken | None:
+    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
         """A piece; once nothing is lacking any more, the whole."""
         asking = self.askings.get(message["n"])
         if asking is None or asking.peer != peer or asking.after != self.cursor:
             return None  # of what was asked of another meanwhile, or begun anew since
-        upto = ballot(message["upto"])
+        upto = unpack_proposal_number(message["upto"])
         if peer in self.has:
             self.has[peer] = upto
         if message.get("again"):
             self._begin(anew=True)
             return None
         rows, more = message["rows"], message["more"]
-        horizon = ballot(message.get("horizon", NONE))
-        if message["digest"] != sealed(rows, self.cursor, upto, more, horizon) or more and not rows:
+        horizon = unpack_proposal_number(message.get("horizon", NONE))
+        if message["digest"] != chunk_digest(rows, self.cursor, upto, more, horizon) or more and not rows:
             self._failed(now, peer)
             if self.shunned.keys() >= set(self._useful()):
                 self.next_at = now + self.draw() * self.patience
@@ -156,7 +160,7 @@
         self.ceiling = max(self.ceiling, upto)
         for each in rows:
             self.staged[each[0], each[1]] = each
-        self.cursor = place_of(rows[-1]) if more else whole(upto)
+        self.cursor = offset_of(rows[-1]) if more else end_of_proposal(upto)
         if more or upto < self.ceiling:
             return None
         told, replaced = list(self.staged.values()), self.anew
@@ -164,13 +168,13 @@
         if upto <= self.copy.upto:
             return None
         age = message.get("age")
-        return Taken(upto, told, replaced, None if age is None else age + now - asking.at)
+        return ReceivedRows(upto, told, replaced, None if age is None else age + now - asking.at)
 
     @staticmethod
-    def answer(copy: Copy, message: Message, age: float | None, for_keeper: bool) -> Message:
+    def answer(copy: Learner, message: Message, age: float | None, for_keeper: bool) -> Message:
         """What a teller says to `piece`. A machine without a disk holds too little for one with a disk."""
-        after = place(message["after"])
-        since = ballot(message.get("since", after[0]))
+        after = unpack_offset(message["after"])
+        since = unpack_proposal_number(message.get("since", after[0]))
         told = {"t": "rows", "n": message["n"]}
         if after != START and copy.horizon > since:
             return {**told, "upto": copy.upto, "again": True}
@@ -194,7 +198,7 @@
     def _useful(self) -> list[Hashable]:
         if not self.started:
             return [peer for peer, upto in self.has.items() if upto > self.copy.upto]
-        return [peer for peer, upto in self.has.items() if whole(upto) > self.cursor]
+        return [peer for peer, upto in self.has.items() if end_of_proposal(upto) > self.cursor]
 
     def _peer(self, now: float) -> Hashable | None:
         """One with the newest that did not fail of late, or the one that failed longest ago."""
--- a/foxspread/mesh/replication/storage.py
+++ b/foxspread/mesh/replication/storage.py
@@ -17,9 +17,9 @@
 
 import orjson
 
-from foxspread.mesh.log import say
+from foxspread.mesh.log import log_event
 from foxspread.mesh.replication.acceptor import Saved, Write
-from foxspread.mesh.replication.learner import Ballot
+from foxspread.mesh.replication.learner import ProposalNumber
 
 FILE = "rootstock.sqlite"
 FORMAT = "2"
@@ -38,29 +38,29 @@
 }
 
 
-def older(boots: int, promised: Ballot, held: Iterable[tuple[int, Ballot]]) -> bool:
+def is_older(boots: int, promised: ProposalNumber, held: Iterable[tuple[int, ProposalNumber]]) -> bool:
     """Whether a disk is a copy from before. `boots` and `promised`: what it tells of itself at its start;
     `held`: the highest of both that others have heard from a disk of that identity. A ballot that it has told
     nobody who is left can't be missed by this."""
     return any(boots < others_boots or promised < others for others_boots, others in held)
 
 
-class Damaged(Exception):
+class StorageCorruptedError(Exception):
     """What lies there can't be trusted."""
 
 
-def _sealed(*parts: object) -> tuple[bytes, int]:
+def _seal(*parts: object) -> tuple[bytes, int]:
     body = orjson.dumps(parts[-1])
     return body, zlib.crc32(body, zlib.crc32(repr(parts[:-1]).encode()))
 
 
-def _opened(body: bytes, seal: int, *before: object) -> object:
+def _unseal(body: bytes, seal: int, *before: object) -> object:
     if zlib.crc32(body, zlib.crc32(repr(before).encode())) != seal:
-        raise Damaged(f"checksum of {before}")
+        raise StorageCorruptedError(f"checksum of {before}")
     return orjson.loads(body)
 
 
-class Disk:
+class Storage:
     def __init__(self, folder: str, later: Callable[[Callable[[], None]], None]) -> None:
         """`later` has a call made in the thread of the loop."""
         self.folder, self.later = folder, later
@@ -87,7 +87,7 @@
             if saved is not None:
                 return self._booted(saved)
         except (
-            Damaged,
+            StorageCorruptedError,
             sqlite3.DatabaseError,
             orjson.JSONDecodeError,
             KeyError,
@@ -98,7 +98,7 @@
                 self.db.close()
             if getattr(error, "sqlite_errorcode", 0) & 0xFF in REFUSED:
                 raise
-            say("disk_damaged", file=FILE, fault=error)
+            log_event("disk_damaged", file=FILE, fault=error)
             for name in (FILE, FILE + "-wal", FILE + "-journal"):
                 if os.path.exists(os.path.join(self.folder, name)):
                     os.remove(os.path.join(self.folder, name))
@@ -112,7 +112,7 @@
         saved.boots += 1
         try:
             self.db.execute(
-                "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", ("boots", *_sealed("boots", saved.boots))
+                "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", ("boots", *_seal("boots", saved.boots))
             )
         except sqlite3.Error:
             self.db.close()
@@ -133,14 +133,14 @@
 
     def _read(self) -> Saved | None:
         if self.db.execute("PRAGMA quick_check").fetchone()[0] != "ok":
-            raise Damaged("quick_check")
-        meta = {name: _opened(body, seal, name) for name, body, seal in self.db.execute("SELECT * FROM meta")}
+            raise StorageCorruptedError("quick_check")
+        meta = {name: _unseal(body, seal, name) for name, body, seal in self.db.execute("SELECT * FROM meta")}
         if "disk" not in meta:
             return None
         if meta["format"] != FORMAT:
-            raise Damaged(f"format {meta['format']!r}")
+            raise StorageCorruptedError(f"format {meta['format']!r}")
         rows = [
-            _opened(body, seal, kind, name)
+            _unseal(body, seal, kind, name)
             for kind, name, body, seal in self.db.execute("SELECT * FROM items")
         ]
         return Saved.found(meta, rows)
@@ -178,12 +178,12 @@
                 if write[0] == "meta":
                     db.execute(
                         "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)",
-                        (write[1], *_sealed(write[1], write[2])),
+                        (write[1], *_seal(write[1], write[2])),
                     )
                     if write[1] == "disk":
                         db.execute(
                             "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)",
-                            ("format", *_sealed("format", FORMAT)),
+                            ("format", *_seal("format", FORMAT)),
                         )
                 elif write[0] == "drop":
                     db.executemany("DELETE FROM items WHERE kind = ? AND name = ?", write[1])
@@ -199,7 +199,7 @@
                 pass  # nothing was begun
             return False
         if self.troubled_since is not None:
-            say("disk_writes_again", after=time.monotonic() - self.troubled_since)
+            log_event("disk_writes_again", after=time.monotonic() - self.troubled_since)
             self.troubled_since = None
         return True
 
@@ -207,11 +207,11 @@
         """One slice of a transaction: all of it, with what says that it is settled, is there or nothing."""
         self.db.executemany(
             "INSERT OR REPLACE INTO items VALUES (?, ?, ?, ?)",
-            [(row[0], row[1], *_sealed(row[0], row[1], row)) for row in rows],
+            [(row[0], row[1], *_seal(row[0], row[1], row)) for row in rows],
         )
         time.sleep(0)
 
     def _troubled(self, error: Exception) -> None:
         if self.troubled_since is None:
             self.troubled_since = time.monotonic()
-            say("disk_refuses", fault=error)
+            log_event("disk_refuses", fault=error)
--- a/foxspread/mesh/schema.py
+++ b/foxspread/mesh/schema.py
@@ -9,38 +9,38 @@
 PLACE = re.compile(r"[^\s:]+:[0-9]{1,5}")
 
 
-class Want(NamedTuple):
+class FieldRule(NamedTuple):
     test: Callable[[Any], bool]
     said: str  # what is wanted, in words
     needed: bool = False
 
 
-def whole(value: Any, least: int = 0, most: float = float("inf")) -> bool:
+def is_integer(value: Any, least: int = 0, most: float = float("inf")) -> bool:
     return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
 
 
-def number(value: Any, least: float = 0.0) -> bool:
+def is_number(value: Any, least: float = 0.0) -> bool:
     return isinstance(value, (int, float)) and not isinstance(value, bool) and value >= least
 
 
-def place(value: Any) -> bool:
+def is_address(value: Any) -> bool:
     return isinstance(value, str) and PLACE.fullmatch(value) is not None
 
 
-TEXT = Want(lambda each: isinstance(each, str), "a text")
-NEEDED_TEXT = Want(lambda each: isinstance(each, str) and each != "", "a text that is not empty", True)
-FLAG = Want(lambda each: isinstance(each, bool), "true or false")
-LIST = Want(lambda each: isinstance(each, list), "a list")
-OBJECT = Want(lambda each: isinstance(each, dict), "an object")
-AMOUNT = Want(number, "a number, 0 or more")
-COUNT = Want(whole, "a whole number, 0 or more")
+TEXT = FieldRule(lambda each: isinstance(each, str), "a text")
+NEEDED_TEXT = FieldRule(lambda each: isinstance(each, str) and each != "", "a text that is not empty", True)
+FLAG = FieldRule(lambda each: isinstance(each, bool), "true or false")
+LIST = FieldRule(lambda each: isinstance(each, list), "a list")
+OBJECT = FieldRule(lambda each: isinstance(each, dict), "an object")
+AMOUNT = FieldRule(is_number, "a number, 0 or more")
+COUNT = FieldRule(is_integer, "a whole number, 0 or more")
 
 
 def all_of(test: Callable[[Any], bool]) -> Callable[[Any], bool]:
     return lambda each: isinstance(each, list) and all(map(test, each))
 
 
-def faulty(data: Any, wants: dict[str, Want]) -> str | None:
+def first_fault(data: Any, wants: dict[str, FieldRule]) -> str | None:
     """The first key that is missing or not as wanted, with its value; None where all is well. Other keys are
     not looked at. A key `a.b` is `b` in the object `a`, where there is one."""
     if not isinstance(data, dict):
--- a/foxspread/mesh/settings.py
+++ b/foxspread/mesh/settings.py
@@ -18,12 +18,12 @@
     NEEDED_TEXT,
     OBJECT,
     TEXT,
-    Want,
+    FieldRule,
     all_of,
-    faulty,
-    number,
-    place,
-    whole,
+    first_fault,
+    is_number,
+    is_address,
+    is_integer,
 )
 
 FILE_VARIABLE = "FOXSPREAD_NODE_FILE"
@@ -49,7 +49,7 @@
     "recover_s": 15.0,
 }
 
-PLACES = Want(all_of(place), "a list of host:port")
+PLACES = FieldRule(all_of(is_address), "a list of host:port")
 WANTS = {
     "node": NEEDED_TEXT,
     "role": TEXT,
@@ -59,11 +59,15 @@
     "zone": TEXT._replace(needed=True),
     "region": TEXT,
     "zones": OBJECT,
-    "counters": Want(
-        lambda each: isinstance(each, dict) and all(map(place, each.values())), "an object of host:port", True
+    "counters": FieldRule(
+        lambda each: isinstance(each, dict) and all(map(is_address, each.values())),
+        "an object of host:port",
+        True,
     ),
-    "inner_ports": Want(
-        lambda each: all_of(lambda port: whole(port, 1, 65535))(each) and len(each) == 2, "two ports", True
+    "inner_ports": FieldRule(
+        lambda each: all_of(lambda port: is_integer(port, 1, 65535))(each) and len(each) == 2,
+        "two ports",
+        True,
     ),
     "seeds": PLACES,
     "first_start": FLAG,
@@ -72,14 +76,16 @@
     "limits.memory_mb": AMOUNT,
     "limits.file_handles": AMOUNT,
     "limits.link_mbps": AMOUNT,
-    "data_dir": Want(lambda each: each is None or isinstance(each, str), "a folder or null"),
-    "heartbeat_s": Want(lambda each: number(each, 0.01), "seconds, 0.01 or more"),
+    "data_dir": FieldRule(lambda each: each is None or isinstance(each, str), "a folder or null"),
+    "heartbeat_s": FieldRule(lambda each: is_number(each, 0.01), "seconds, 0.01 or more"),
     "contracts": LIST,
     "tolerate": OBJECT,
     "tolerate.machines": COUNT,
     "tolerate.zones": COUNT,
-    "bounds": Want(lambda each: isinstance(each, (list, str)), "a list of name=value, or one text of them"),
-    "app": Want(place, "host:port"),
+    "bounds": FieldRule(
+        lambda each: isinstance(each, (list, str)), "a list of name=value, or one text of them"
+    ),
+    "app": FieldRule(is_address, "host:port"),
     "service": TEXT,
 }
 
@@ -119,19 +125,19 @@
 
     def seed_addresses(self) -> list[Address]:
         """Where those that serve control hear their own kind."""
-        return [(address(each)[0], self.inner_ports[0]) for each in self.seeds]
+        return [(parse_address(each)[0], self.inner_ports[0]) for each in self.seeds]
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def shown(place: Address) -> str:
+def format_address(place: Address) -> str:
     return f"{place[0]}:{place[1]}"
 
 
-def read(path: str | None = None) -> Settings | Failure:
+def read_settings(path: str | None = None) -> Settings | Failure:
     """The settings, or a failure that names the key and its value."""
     path = path or os.environ.get(FILE_VARIABLE) or FILE_USUAL
     try:
@@ -141,13 +147,13 @@
         return Failure(f"{path}: {error.strerror}")
     except orjson.JSONDecodeError as error:
         return Failure(f"{path}: {error}")
-    return taken(data)
+    return settings_from(data)
 
 
-def taken(data: Any) -> Settings | Failure:
+def settings_from(data: Any) -> Settings | Failure:
     if not isinstance(data, dict):
         return Failure("settings must be an object")
-    if (fault := faulty(data, WANTS)) is not None:
+    if (fault := first_fault(data, WANTS)) is not None:
         return Failure(fault)
     bounds = _bounds(data.get("bounds", []))
     if isinstance(bounds, Failure):
@@ -158,7 +164,7 @@
         data["ip"],
         data["zone"],
         tuple(data["serves"]),
-        {name: address(each) for name, each in data["counters"].items()},
+        {name: parse_address(each) for name, each in data["counters"].items()},
         tuple(data["inner_ports"]),
         tuple(data.get("seeds", ())),
         data.get("region", ""),
@@ -170,7 +176,7 @@
         data.get("heartbeat_s", 1.0),
         data.get("tolerate", {}).get("machines", 1),
         bounds,
-        address(data["app"]) if data.get("app") else None,
+        parse_address(data["app"]) if data.get("app") else None,
         data.get("service", ""),
         data.get("machine_class", ""),
         data.get("tolerate", {}).get("zones", 0),
@@ -194,7 +200,7 @@
     return bounds
 
 
-def moved(old: Settings, new: Settings) -> Settings:
+def reloaded(old: Settings, new: Settings) -> Settings:
     """What a running process takes up of a changed file: all but where it listens and what it keeps."""
     return replace(
         new,
--- a/foxspread/mesh/simulation/explore.py
+++ b/foxspread/mesh/simulation/explore.py
@@ -16,11 +16,11 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import THEIRS, Item, Key, unpacked
-from foxspread.mesh.errors import Broken, Failure
-from foxspread.mesh.replication.learner import Copy, ballot, unrow
+from foxspread.mesh.configuration.items import THEIRS, Item, Key, unpack_item
+from foxspread.mesh.errors import InvariantViolation, Failure
+from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Message, Saved, Acceptor
-from foxspread.mesh.replication.proposer import Out, Proposer
+from foxspread.mesh.replication.proposer import ProposerOutput, Proposer
 from foxspread.mesh.simulation.machines import Cores
 
 NEVER = 1e9
@@ -130,7 +130,7 @@
     def do(self, action: Action) -> None:
         try:
             getattr(self, action[0])(*action[1:])
-        except Broken as error:
+        except InvariantViolation as error:
             self.faults.append(str(error))
         self._judge()
 
@@ -217,7 +217,7 @@
         if reply is not None:
             self._send(me, to, reply)
 
-    def _do(self, me: str, out: Out) -> None:
+    def _do(self, me: str, out: ProposerOutput) -> None:
         self._write(me, out.writes)
         self._show(out.new)
         for to, message in out.sends:
@@ -297,14 +297,14 @@
             message = loads(each[2])
             proposer, kind = self.proposers[each[1]], message["t"]
             if kind in ("promise", "accepted", "behind", "nack"):
-                if proposer.ballot is None or ballot(message["b"]) != proposer.ballot:
+                if proposer.ballot is None or unpack_proposal_number(message["b"]) != proposer.ballot:
                     continue
                 if kind == "promise" and (proposer.value is not None or each[0] in proposer.promises):
                     continue
             elif kind == "enrolled" and self.acceptors[each[1]].known:
                 continue
             elif self.case.prompt and kind in ("prepare", "accept"):
-                sender, at = self.proposers[each[0]], ballot(message["b"])
+                sender, at = self.proposers[each[0]], unpack_proposal_number(message["b"])
                 if kind == "prepare" and sender.ballot != at:
                     continue  # it would only keep others from being heard
                 if at < self.acceptors[each[1]].promised and not self.starts[each[0]]:
@@ -348,7 +348,7 @@
     for name, value in vars(thing).items():
         if isinstance(value, dict | list | set):
             vars(new)[name] = shallow_copy(value)
-        elif isinstance(value, Copy):
+        elif isinstance(value, Learner):
             vars(new)[name] = _cloned(value)
     for name in ("waiting", "running"):
         if name in vars(new):
@@ -420,7 +420,7 @@
     sender, to, packed = table.flying[action[1]]
     message = loads(packed)
     ballot_or_disk = message.get("b", message.get("disk"))
-    items = [item for item, _ in map(unrow, message.get("rows", ()))]
-    items += map(unpacked, message.get("delta", ()))
+    items = [item for item, _ in map(unpack_row, message.get("rows", ()))]
+    items += map(unpack_item, message.get("delta", ()))
     named = [f"{item.name}@r{item.version}" for item in items]
     return " ".join([sender, ">", to, message["t"], str(ballot_or_disk), *named])
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -8,14 +8,21 @@
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, THEIRS, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
-from foxspread.mesh.gossip.anti_entropy import Exchange
-from foxspread.mesh.errors import Broken, Failure
-from foxspread.mesh.replication.snapshot_transfer import CatchUp, Taken
-from foxspread.mesh.replication.quorum_contact import Contact, Report
-from foxspread.mesh.replication.learner import START, Copy, Piece, Place, ballot, unrow
+from foxspread.mesh.gossip.anti_entropy import AntiEntropy
+from foxspread.mesh.errors import InvariantViolation, Failure
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer, ReceivedRows
+from foxspread.mesh.replication.quorum_contact import QuorumContact, Report
+from foxspread.mesh.replication.learner import (
+    START,
+    Learner,
+    SnapshotChunk,
+    Offset,
+    unpack_proposal_number,
+    unpack_row,
+)
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import PATIENCE_S, Replica
-from foxspread.mesh.replication.reconfiguration import Replacement, View
+from foxspread.mesh.replication.reconfiguration import Reconfiguration, ClusterView
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
 from foxspread.mesh.simulation.invariants import shown
@@ -40,10 +47,10 @@
     proposer: type[Proposer] = Proposer
     replica: type[Replica] = Replica
     disk: type[SimDisk] = SimDisk
-    contact: type[Contact] = Contact
-    catchup: type[CatchUp] = CatchUp
+    contact: type[QuorumContact] = QuorumContact
+    catchup: type[SnapshotTransfer] = SnapshotTransfer
     readiness: type[Readiness] = Readiness
-    replacement: type[Replacement] = Replacement
+    replacement: type[Reconfiguration] = Reconfiguration
 
 
 class Party:
@@ -54,13 +61,13 @@
         self.life, self.up, self.frozen = 0, False, False
         self.rate, self.offset = 1.0, 0.0
         self.inbox: list[Callable[[], None]] = []
-        self._holds(Copy())
-        self.exchange = Exchange()
+        self._holds(Learner())
+        self.exchange = AntiEntropy()
         self.flushing = False
 
-    def _holds(self, copy: Copy) -> None:
-        def small(after: Place = START, most: int = PIECE_BYTES, bare: bool = False) -> Piece:
-            return Copy.piece(copy, after, most, bare)
+    def _holds(self, copy: Learner) -> None:
+        def small(after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
+            return Learner.piece(copy, after, most, bare)
 
         self.copy, copy.piece = copy, small
         self.catchup = self.fleet.cores.catchup(copy, self.world.draw)
@@ -81,7 +88,7 @@
             return
         try:
             call()
-        except Broken as error:
+        except InvariantViolation as error:
             self.fleet.judge.broken("no broken invariant", f"{self.name}: {error}")
             self.kill()
 
@@ -103,7 +110,7 @@
 
     def start(self) -> None:
         self.up, self.flushing = True, False
-        self.exchange = Exchange(self._tells)
+        self.exchange = AntiEntropy(self._tells)
         self.fleet.judge.started(self.named)
         self.later(0.0, self._meet)
         self.later(self.world.draw() * TICK_S, self._tick)
@@ -136,7 +143,7 @@
         if kind == "hello":
             self._met(sender)
         elif kind == "have":
-            upto = ballot(message["v"][SETTLED])
+            upto = unpack_proposal_number(message["v"][SETTLED])
             if self._learns_from(sender):
                 self.catchup.told(sender, upto)
             self._noticed(upto)
@@ -151,7 +158,7 @@
         elif kind == "piece":
             if self._may_tell(sender):
                 keeps = isinstance(self.fleet.parties[sender], Machine)
-                self._send(sender, CatchUp.answer(self.copy, message, self._age(), keeps))
+                self._send(sender, SnapshotTransfer.answer(self.copy, message, self._age(), keeps))
         elif kind == "rows":
             if (taken := self.catchup.heard(self.clock(), sender, message)) is not None:
                 self._take(taken)
@@ -173,7 +180,7 @@
     def _noticed(self, at: tuple) -> None:
         pass
 
-    def _take(self, taken: Taken) -> None:
+    def _take(self, taken: ReceivedRows) -> None:
         pass
 
     def _show(self, new: list[Item]) -> None:
@@ -205,7 +212,7 @@
     """A copy beside no disk: all that it knows it has from others, in each life anew."""
 
     def start(self) -> None:
-        self._holds(Copy())
+        self._holds(Learner())
         self.readiness, self.was_ready = self.fleet.cores.readiness(), False
         super().start()
 
@@ -216,14 +223,14 @@
         super()._tick()
 
     def _hears_news(self, sender: str, news: dict[str, Any]) -> None:
-        if (upto := ballot(news["upto"])) > self.copy.upto:
+        if (upto := unpack_proposal_number(news["upto"])) > self.copy.upto:
             self.catchup.told(sender, upto)
         else:
             self._based(news["at"], news["age"])
 
-    def _take(self, taken: Taken) -> None:
+    def _take(self, taken: ReceivedRows) -> None:
         take = self.copy.replace if taken.replaced else self.copy.fold
-        self._show(take(taken.upto, map(unrow, taken.rows)))
+        self._show(take(taken.upto, map(unpack_row, taken.rows)))
         self.fleet.judge.tells(self.named, "shows the set", self.copy.items)
         self._based(self.clock(), taken.age)
 
@@ -362,12 +369,12 @@
 
     # Who the members are.
 
-    def _view(self, now: float) -> View:
+    def _view(self, now: float) -> ClusterView:
         acceptor = self.core.acceptor
         reports = {name: (at, report) for name, (report, at) in self.contact.reports.items()}
         reports[self.name] = now, self._report()
         self.contact.held(acceptor.members, self.copy.upto)
-        return View(
+        return ClusterView(
             self.name,
             acceptor.members,
             self.copy.items.get((LEASE, MEMBERS)),
@@ -411,7 +418,7 @@
     def _noticed(self, at: tuple) -> None:
         self.core.peer_settled(at)
 
-    def _take(self, taken: Taken) -> None:
+    def _take(self, taken: ReceivedRows) -> None:
         self.core.learn(taken.upto, taken.rows, taken.replaced)
 
     def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -5,16 +5,16 @@
 from typing import Any
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
-from foxspread.mesh.configuration.idempotency import judged
+from foxspread.mesh.configuration.idempotency import apply_change
 from foxspread.mesh.control_api.readiness import Readiness
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.snapshot_transfer import CatchUp, Taken
-from foxspread.mesh.replication.quorum_contact import Contact
-from foxspread.mesh.replication.learner import NONE, Ballot, ballot, sealed
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer, ReceivedRows
+from foxspread.mesh.replication.quorum_contact import QuorumContact
+from foxspread.mesh.replication.learner import NONE, ProposalNumber, unpack_proposal_number, chunk_digest
 from foxspread.mesh.replication.acceptor import Answer, Message, Saved, Acceptor, Write
-from foxspread.mesh.replication.membership import Members
+from foxspread.mesh.replication.membership import MemberSet
 from foxspread.mesh.replication.replica import Replica
-from foxspread.mesh.replication.proposer import Call, Out, Proposer
+from foxspread.mesh.replication.proposer import PendingCall, ProposerOutput, Proposer
 from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.disks import SimDisk
 
@@ -28,7 +28,7 @@
 
 
 class EnrolledByOne(Acceptor):
-    def enough(self, members: Members) -> int:
+    def enough(self, members: MemberSet) -> int:
         return 1
 
 
@@ -46,7 +46,7 @@
 class PromiseForgotten(Acceptor):
     """Not on disk before the answer, nor after."""
 
-    def _promise(self, asked: Ballot) -> list[Write]:
+    def _promise(self, asked: ProposalNumber) -> list[Write]:
         super()._promise(asked)
         return []
 
@@ -59,20 +59,20 @@
 
 class PromisesAnyBallot(Acceptor):
     def prepare(self, message: Message) -> Answer:
-        self.promised = min(self.promised, ballot(message["b"]))
+        self.promised = min(self.promised, unpack_proposal_number(message["b"]))
         return super().prepare(message)
 
 
 class AcceptsAnyBallot(Acceptor):
     def accept(self, message: Message) -> Answer:
-        self.promised = min(self.promised, ballot(message["b"]))
+        self.promised = min(self.promised, unpack_proposal_number(message["b"]))
         return super().accept(message)
 
 
 class SettlesWhatItHolds(Acceptor):
     """Another's news of a settled ballot settles whatever was accepted here last."""
 
-    def settle(self, at: Ballot) -> tuple[list[Write], list[Item]] | None:
+    def settle(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
         if at <= self.copy.upto or not self.delta:
             return None
         return self.learn(at, [(item, at) for item in self.delta.values()])
@@ -87,7 +87,7 @@
 
 
 class ActsBeforeChosen(Proposer):
-    def _propose(self, now: float, out: Out) -> None:
+    def _propose(self, now: float, out: ProposerOutput) -> None:
         super()._propose(now, out)
         if self.value:
             out.new += self.value.values()
@@ -96,14 +96,14 @@
 class HighestVersion(Proposer):
     """Merges what was accepted by the highest version, not by ballots."""
 
-    def _propose(self, now: float, out: Out) -> None:
+    def _propose(self, now: float, out: ProposerOutput) -> None:
         best: dict[Key, list] = {}
         for each in self.promises.values():
             for told in each["delta"]:
                 key = told[0], told[1]
                 if key not in best or best[key][2] < told[2]:
                     best[key] = told
-        last = max(ballot(each["acc"]) for each in self.promises.values())
+        last = max(unpack_proposal_number(each["acc"]) for each in self.promises.values())
         for name, each in self.promises.items():
             self.promises[name] = {**each, "acc": last, "delta": list(best.values())}
         super()._propose(now, out)
@@ -112,11 +112,11 @@
 class OlderDelta(Proposer):
     """Of two acceptances the older one is taken over."""
 
-    def _propose(self, now: float, out: Out) -> None:
-        upto = max(ballot(each["s"]) for each in self.promises.values())
-        still_open = [each for each in self.promises.values() if ballot(each["acc"]) > upto]
+    def _propose(self, now: float, out: ProposerOutput) -> None:
+        upto = max(unpack_proposal_number(each["s"]) for each in self.promises.values())
+        still_open = [each for each in self.promises.values() if unpack_proposal_number(each["acc"]) > upto]
         if still_open:
-            first = min(still_open, key=lambda each: ballot(each["acc"]))
+            first = min(still_open, key=lambda each: unpack_proposal_number(each["acc"]))
             told = {name: first[name] for name in ("acc", "delta")}
             for name, each in self.promises.items():
                 self.promises[name] = {**each, **told}
@@ -126,7 +126,7 @@
 class OpenIsDropped(Proposer):
     """What may be chosen already is not carried on."""
 
-    def _propose(self, now: float, out: Out) -> None:
+    def _propose(self, now: float, out: ProposerOutput) -> None:
         for name, each in self.promises.items():
             self.promises[name] = {**each, "acc": NONE, "delta": []}
         super()._propose(now, out)
@@ -135,7 +135,7 @@
 class RefusesAtOnce(Proposer):
     """A refusal is told before what it was judged on is settled."""
 
-    def _propose(self, now: float, out: Out) -> None:
+    def _propose(self, now: float, out: ProposerOutput) -> None:
         super()._propose(now, out)
         for call in [each for each in self.running if isinstance(each.outcome, Failure)]:
             self.running.remove(call)
@@ -143,9 +143,13 @@
 
 
 class AckAfterOne(Proposer):
-    def heard(self, now: float, sender: str, message: Message) -> Out:
-        if message["t"] == "accepted" and self.value is not None and ballot(message["b"]) == self.ballot:
-            out = Out()
+    def heard(self, now: float, sender: str, message: Message) -> ProposerOutput:
+        if (
+            message["t"] == "accepted"
+            and self.value is not None
+            and unpack_proposal_number(message["b"]) == self.ballot
+        ):
+            out = ProposerOutput()
             self._chosen(now, out)
             return out
         return super().heard(now, sender, message)
@@ -154,9 +158,9 @@
 class ReadsItself(Proposer):
     """A read is answered from the copy at hand."""
 
-    def submit(self, now: float, token: Any, items: Iterable[Item], until: float) -> Out:
+    def submit(self, now: float, token: Any, items: Iterable[Item], until: float) -> ProposerOutput:
         items = list(items)
-        return super().submit(now, token, items, until) if items else Out(done=[(token, True)])
+        return super().submit(now, token, items, until) if items else ProposerOutput(done=[(token, True)])
 
 
 class AnswersFirst(Replica):
@@ -171,10 +175,10 @@
 class NeverTakesUp(Replica):
     """What a proposer that died has left is taken up by nobody; and a copy that lacks news asks for none."""
 
-    def peer_settled(self, at: Ballot) -> None:
+    def peer_settled(self, at: ProposalNumber) -> None:
         pass
 
-    def learn(self, upto: Ballot, rows: list, whole: bool = False) -> None:
+    def learn(self, upto: ProposalNumber, rows: list, whole: bool = False) -> None:
         pass
 
 
@@ -190,7 +194,7 @@
 class NoneIsGone(Proposer):
     """Which disks others know to be gone is not looked at."""
 
-    def heard(self, now: float, sender: str, message: Message) -> Out:
+    def heard(self, now: float, sender: str, message: Message) -> ProposerOutput:
         if "disks" in message:
             message = {**message, "disks": {sender: message["disks"][sender]}}
         return super().heard(now, sender, message)
@@ -211,14 +215,14 @@
 class ForgetsOvertaken(Proposer):
     """What held under a number is not known once a newer one holds."""
 
-    def _judged(self, both: dict, delta: dict, call: Call, now: float) -> tuple:
+    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
         return super()._judged({key: item.bare for key, item in both.items()}, delta, call, now)
 
 
 class RefusalNotAgreed(Proposer):
     """An order is refused by what holds, and nobody remembers that."""
 
-    def _judged(self, both: dict, delta: dict, call: Call, now: float) -> tuple:
+    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
         changes, outcome = super()._judged(both, delta, call, now)
         return ({} if isinstance(outcome, Failure) else changes), outcome
 
@@ -226,7 +230,7 @@
 class RefusalNotLookedUp(Proposer):
     """An order that was refused is judged anew by what holds now."""
 
-    def _judged(self, both: dict, delta: dict, call: Call, now: float) -> tuple:
+    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
         known = {key: item for key, item in both.items() if key[0] != REFUSED}
         return super()._judged(known, delta, call, now)
 
@@ -234,11 +238,11 @@
 class NewSetAlone(Proposer):
     """A change of members is counted by the new set, by whoever asks and by whoever has it accepted."""
 
-    def _ask(self, sets: list[Members], out: Out) -> None:
+    def _ask(self, sets: list[MemberSet], out: ProposerOutput) -> None:
         super()._ask(sets, out)
         del sets[:-1]
 
-    def _propose(self, now: float, out: Out) -> None:
+    def _propose(self, now: float, out: ProposerOutput) -> None:
         super()._propose(now, out)
         self.sets = self.sets[-1:]
 
@@ -246,14 +250,14 @@
 class ChangesAtOnce(Proposer):
     """The next change of members does not wait for the last to be settled, nor for one step."""
 
-    def _judged(self, both: dict, delta: dict, call: Call, now: float) -> tuple:
-        return judged(both, call.items, call.named, 0.0)
+    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
+        return apply_change(both, call.items, call.named, 0.0)
 
 
 class InPieces(Acceptor):
     """Nothing wrong: what one that enrols lacks does not fit the answer, and comes in pieces."""
 
-    def rows(self, since: Ballot) -> list | None:
+    def rows(self, since: ProposalNumber) -> list | None:
         return None if since == NONE and self.copy.upto > NONE else super().rows(since)
 
 
@@ -270,14 +274,14 @@
 class AnyFence(Proposer):
     """A lease is taken whatever number it names."""
 
-    def _judged(self, both: dict, delta: dict, call: Call, now: float) -> tuple:
+    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
         held = both.get((LEASE, MEMBERS))
         version = held.version + 1 if held is not None else 1
         items = [replace(each, version=version) if each.kind == LEASE else each for each in call.items]
         return super()._judged(both, delta, replace(call, items=items), now)
 
 
-class AgeFromTheAnswer(Contact):
+class AgeFromTheAnswer(QuorumContact):
     """An age counts from when the answer came."""
 
     def heard(self, now: float, sender: str, message: dict[str, Any]) -> None:
@@ -286,22 +290,22 @@
         super().heard(now, sender, message)
 
 
-class ContactByOne(Contact):
+class ContactByOne(QuorumContact):
     """One answer is as good as a majority's."""
 
-    def held(self, members: Members, upto: Ballot) -> None:
+    def held(self, members: MemberSet, upto: ProposalNumber) -> None:
         named = {name for asking in self.askings for name in asking.answers}
-        super().held(Members(members.epoch, tuple(named)[:1]) if named else members, upto)
+        super().held(MemberSet(members.epoch, tuple(named)[:1]) if named else members, upto)
 
 
-class ContactWithoutBallot(Contact):
+class ContactWithoutBallot(QuorumContact):
     """What the others have seen is not asked for."""
 
-    def held(self, members: Members, upto: Ballot) -> None:
+    def held(self, members: MemberSet, upto: ProposalNumber) -> None:
         super().held(members, (1 << 60, ""))
 
 
-class TellsAnyhow(Contact):
+class TellsAnyhow(QuorumContact):
     """Told without contact: fresh from the start."""
 
     def current(self, now: float) -> bool:
@@ -315,29 +319,29 @@
     fresh = property(lambda self: True, lambda self, value: None)
 
 
-class SkipsAPiece(CatchUp):
+class SkipsAPiece(SnapshotTransfer):
     """What follows the first piece is left out."""
 
-    def heard(self, now: float, peer: Hashable, message: Message) -> Taken | None:
+    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
         if message.get("more"):
             rows, upto, horizon = (
                 message["rows"],
-                ballot(message["upto"]),
-                ballot(message.get("horizon", NONE)),
+                unpack_proposal_number(message["upto"]),
+                unpack_proposal_number(message.get("horizon", NONE)),
             )
-            digest = sealed(rows, self.cursor, upto, False, horizon)
+            digest = chunk_digest(rows, self.cursor, upto, False, horizon)
             message = {**message, "more": False, "digest": digest}
         return super().heard(now, peer, message)
 
 
-class ShowsPieces(CatchUp):
+class ShowsPieces(SnapshotTransfer):
     """What came is shown before the whole is there, and then gone on with."""
 
-    def heard(self, now: float, peer: Hashable, message: Message) -> Taken | None:
+    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
         found = super().heard(now, peer, message)
         if found is None and message.get("more") and self.staged:
             rows = list(self.staged.values())
-            return Taken((rows[-1][4], rows[-1][5]), rows, False, None)
+            return ReceivedRows((rows[-1][4], rows[-1][5]), rows, False, None)
         return found
 
 
--- a/foxspread/mesh/transport/datagrams.py
+++ b/foxspread/mesh/transport/datagrams.py
@@ -9,7 +9,7 @@
 from foxspread.mesh.settings import Address
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     def __init__(self, heard: Callable[[dict[str, Any]], None]) -> None:
         self.heard = heard
         self.transport: asyncio.DatagramTransport | None = None
