--- a/foxspread/mesh/transport/peer_connection.py
+++ b/foxspread/mesh/transport/peer_connection.py
@@ -7,22 +7,24 @@
 from collections.abc import Callable
 from typing import Any
 
-from foxspread.mesh.log import say
+from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.transport.netstrings import Decoder, encode
 
-BEAT_S = 0.4
-SILENT_S = 1.5
-HELD_MOST = 4 * 1024 * 1024  # bytes waiting to be written: one that reads too slowly is left, and comes again
+HEARTBEAT_INTERVAL_S = 0.4
+SILENCE_TIMEOUT_S = 1.5
+WRITE_BUFFER_LIMIT_BYTES = (
+    4 * 1024 * 1024
+)  # bytes waiting to be written: one that reads too slowly is left, and comes again
 
 
-class Link(asyncio.Protocol):
+class PeerConnection(asyncio.Protocol):
     def __init__(
         self,
         clock: Callable[[], float],
-        opened: Callable[["Link"], None],
-        heard: Callable[["Link", dict[str, Any]], None],
-        ended: Callable[["Link"], None],
+        opened: Callable[["PeerConnection"], None],
+        heard: Callable[["PeerConnection", dict[str, Any]], None],
+        ended: Callable[["PeerConnection"], None],
     ) -> None:
         self.clock, self.opened, self.heard, self.ended = clock, opened, heard, ended
         self.decoder = Decoder()
@@ -56,11 +58,11 @@
     def send(self, message: dict[str, Any]) -> None:
         if self.transport is None:
             return
-        if self.transport.get_write_buffer_size() > HELD_MOST:
+        if self.transport.get_write_buffer_size() > WRITE_BUFFER_LIMIT_BYTES:
             return self.close("reads too slowly")
         data = encode(message)
         if isinstance(data, Failure):
-            return say("message_too_large", peer=self.peer, why=data.reason)
+            return log_event("message_too_large", peer=self.peer, why=data.reason)
         self.last_sent = self.clock()
         self.transport.write(data)
 
@@ -68,9 +70,9 @@
         """Now and then; `slept`: how long this process itself stood still, which says nothing of the peer."""
         now = self.clock()
         self.last_heard += slept
-        if now - self.last_heard > SILENT_S:
+        if now - self.last_heard > SILENCE_TIMEOUT_S:
             self.close("silent")
-        elif now - self.last_sent >= BEAT_S:
+        elif now - self.last_sent >= HEARTBEAT_INTERVAL_S:
             self.send({"t": "beat"})
 
     def close(self, why: str) -> None:
--- a/tests/mesh/configuration/test_idempotency.py
+++ b/tests/mesh/configuration/test_idempotency.py
@@ -6,7 +6,7 @@
 
 from foxspread.mesh.configuration import idempotency
 from foxspread.mesh.configuration.items import KEPT, LEASE, MEMBERS, REFUSED, SERVICE, Item
-from foxspread.mesh.configuration.idempotency import collected, digest_of_order, judged, merged
+from foxspread.mesh.configuration.idempotency import collectable, digest_of_change, apply_change, merge
 from foxspread.mesh.errors import Failure
 from tests.mesh.replication.scripted_replicas import route, service
 
@@ -20,7 +20,7 @@
 
     def told(self, *items):
         """What the operator is told: 200 or a status."""
-        changes, outcome = judged(self.held, list(items), digest_of_order(items), self.clock)
+        changes, outcome = apply_change(self.held, list(items), digest_of_change(items), self.clock)
         self.held |= changes
         return outcome.status if isinstance(outcome, Failure) else 200
 
@@ -100,8 +100,8 @@
 
     def test_an_order_is_known_whatever_the_order_of_its_items(self):
         items = [service("a"), service("b"), route("r", "/r/", "a")]
-        self.assertEqual(1, len({digest_of_order(each) for each in permutations(items)}))
-        self.assertNotEqual(digest_of_order(items), digest_of_order(items[:2]))
+        self.assertEqual(1, len({digest_of_change(each) for each in permutations(items)}))
+        self.assertNotEqual(digest_of_change(items), digest_of_change(items[:2]))
 
 
 class Refusals(testtools.TestCase):
@@ -153,10 +153,10 @@
         gone = [Item(SERVICE, f"s{n}", 5 + n % 3, None) for n in range(idempotency.DROPPED_MOST + 1)]
         held = {item.key: item for item in gone}
         at = {item.key: (n + 1, "w") for n, item in enumerate(gone)}
-        self.assertEqual({}, collected(dict(list(held.items())[1:]), at))
-        kept = collected(held, at)[KEPT, "dropped"]
+        self.assertEqual({}, collectable(dict(list(held.items())[1:]), at))
+        kept = collectable(held, at)[KEPT, "dropped"]
         oldest = idempotency.DROPPED_MOST + 1 - idempotency.DROPPED_REST
         self.assertEqual({"floor": 7, "at": [oldest, "w"]}, kept.content)
         there = {kept.key: kept}
-        self.assertEqual(503, merged(there, [service("s0", 7)]).status)
-        self.assertIn((SERVICE, "s0"), merged(there, [service("s0", 8)]))
+        self.assertEqual(503, merge(there, [service("s0", 7)]).status)
+        self.assertIn((SERVICE, "s0"), merge(there, [service("s0", 8)]))
--- a/tests/mesh/configuration/test_validation.py
+++ b/tests/mesh/configuration/test_validation.py
@@ -4,8 +4,8 @@
 import testtools
 
 from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item, consistent, laid_out
-from foxspread.mesh.configuration.idempotency import merged
-from foxspread.mesh.configuration.validation import read
+from foxspread.mesh.configuration.idempotency import merge
+from foxspread.mesh.configuration.validation import parse_call
 from foxspread.mesh.errors import Failure
 from tests.mesh.helpers import rule
 
@@ -29,7 +29,7 @@
 def outcome(call):
     """Items of a call, or its failure, which must be the last thing told."""
     body = call if isinstance(call, bytes) else orjson.dumps(call)
-    steps = [step for step in read(body) if step is not None]
+    steps = [step for step in parse_call(body) if step is not None]
     failures = [step for step in steps if isinstance(step, Failure)]
     assert steps[len(steps) - len(failures) :] == failures and len(failures) < 2
     return failures[0] if failures else steps
@@ -140,7 +140,7 @@
         # Guards: a call is read to its end before anything of it counts; in slices between other work.
         many = [rule(name=f"r{n}", postcode=f"/{n}/") for n in range(300)]
         self.assertEqual(300, len(outcome(gates(*many))))
-        self.assertLess(30, sum(step is None for step in read(orjson.dumps(gates(*many)))))
+        self.assertLess(30, sum(step is None for step in parse_call(orjson.dumps(gates(*many)))))
         self.assertIsInstance(outcome(gates(*many, rule(deadline=601))), Failure)
 
 
@@ -198,10 +198,10 @@
             (routed("gone", 6), True),
             (routed("new", 1), True),
         ):
-            in_force = {key: each.bare for key, each in {**there, **merged(there, [item])}.items()}
+            in_force = {key: each.bare for key, each in {**there, **merge(there, [item])}.items()}
             self.assertEqual({**there, **(held(item) if newer else {})}, in_force)
         for other in (routed("r1", 5, "/other/"), Item(ROUTE, "r1", 5, None), routed("gone", 5)):
-            self.assertEqual(409, merged(there, [other]).status)
+            self.assertEqual(409, merge(there, [other]).status)
 
     def test_it_reads_back_as_it_was_sent(self):
         # Guards: the operator compares what it sent with what it gets: unknown keys too, dropped ones not.
--- a/tests/mesh/control_api/test_handlers.py
+++ b/tests/mesh/control_api/test_handlers.py
@@ -6,11 +6,11 @@
 import orjson
 
 from foxspread.mesh.dataplane.serving import Serving
-from foxspread.mesh.control_api.configuration import Configuration
-from foxspread.mesh.control_api.handlers import ORDER_MOST, ControlDesk, ReadyDesk
-from foxspread.mesh.control_api.instances import Instances
-from foxspread.mesh.registry.incarnations import DRAINING, Lives
-from foxspread.mesh.errors import conflict, unsettled
+from foxspread.mesh.control_api.configuration import ConfigurationResource
+from foxspread.mesh.control_api.handlers import ORDER_MOST, ControlApi, ReadinessApi
+from foxspread.mesh.control_api.instances import InstancesResource
+from foxspread.mesh.registry.incarnations import DRAINING, InstanceTable
+from foxspread.mesh.errors import conflict, outcome_unknown
 from tests.mesh.helpers import OnLoop, Transport, header, rule, statuses
 
 BEAT = {"service": "s1", "address": "10.0.0.9:8080", "zone": "z", "edition": "v1", "berths": 12,
@@ -38,9 +38,11 @@
 class Calls(OnLoop):
     def setUp(self):
         super().setUp()
-        self.lives, self.changes, self.known = Lives(1.0), [], True
-        beats = Instances(self.loop.time, self.lives, lambda: self.changes.append(self.loop.now), self.spread)
-        self.desk = ControlDesk(self.loop.time, {"Instances": beats})
+        self.lives, self.changes, self.known = InstanceTable(1.0), [], True
+        beats = InstancesResource(
+            self.loop.time, self.lives, lambda: self.changes.append(self.loop.now), self.spread
+        )
+        self.desk = ControlApi(self.loop.time, {"Instances": beats})
 
     async def spread(self):
         await asyncio.sleep(0.3)
@@ -98,15 +100,15 @@
     def test_configuration(self):
         # Guards: nothing invalid reaches the disk; the outcome goes back as it is; one without a disk reads
         # nothing and names another, with the whole path.
-        for outcome, wanted in ((True, 200), (conflict("no"), 409), (unsettled("later"), 503)):
+        for outcome, wanted in ((True, 200), (conflict("no"), 409), (outcome_unknown("later"), 503)):
             keeper = Keeper(self.loop, outcome)
-            self.desk.resources["Config"] = Configuration(keeper, lambda: None)
+            self.desk.resources["Config"] = ConfigurationResource(keeper, lambda: None)
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
             self.assertEqual(["s1", "r1"], [item.name for item in keeper.got[0]])
             self.assertEqual([400], self.call(b"/api/Config.Patch", orjson.dumps(CALL)[:-1]))
             self.assertEqual(1, len(keeper.got))
         for place, wanted in (("10.0.0.4:8080", 307), (None, 503)):
-            self.desk.resources["Config"] = Configuration(None, lambda place=place: place)
+            self.desk.resources["Config"] = ConfigurationResource(None, lambda place=place: place)
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
             location = place and b"http://10.0.0.4:8080/api/Config.Patch"
             self.assertEqual(location, header(self.written, b"location"))
@@ -117,7 +119,7 @@
         # Guards: each gets a clear refusal, nothing of it is submitted, and none is read whole that is too
         # large: by its length, and by what comes of one without a length.
         keeper = Keeper(self.loop, True)
-        self.desk.resources["Config"] = Configuration(keeper, lambda: None)
+        self.desk.resources["Config"] = ConfigurationResource(keeper, lambda: None)
         for size in (ORDER_MOST + 1, 64 * 1024 * 1024):
             head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % size
             self.assertEqual([413], self.sent(head + b" " * 1000))
@@ -160,23 +162,27 @@
             ([False, False], 200, 1),
         ):
             told = iter(answers)
-            self.desk.resources["Config"] = Configuration(keeper, lambda: None, lambda told=told: next(told))
+            self.desk.resources["Config"] = ConfigurationResource(
+                keeper, lambda: None, lambda told=told: next(told)
+            )
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
             self.assertEqual(got, len(keeper.got))
-        self.desk.resources["Config"] = Configuration(keeper, lambda: None, lambda: True)
+        self.desk.resources["Config"] = ConfigurationResource(keeper, lambda: None, lambda: True)
         self.assertEqual([503], self.call(b"/api/Config.Get", method=b"GET"))
         self.assertEqual(1, len(keeper.got))
 
     def test_a_call_that_fails(self):
         # Guards: an error of ours must not leave the caller without an answer; it is told to go elsewhere.
-        self.desk.resources["Config"] = Configuration(Keeper(self.loop, ValueError("ours")), lambda: None)
+        self.desk.resources["Config"] = ConfigurationResource(
+            Keeper(self.loop, ValueError("ours")), lambda: None
+        )
         self.assertEqual([500], self.call(b"/api/Config.Patch", CALL))
         self.assertEqual(["ours"], [str(fault) for fault in self.loop.faults])
         self.loop.faults.clear()
 
     def test_ready(self):
         told = []
-        self.desk = ReadyDesk(self.loop.time, lambda: bool(told))
+        self.desk = ReadinessApi(self.loop.time, lambda: bool(told))
         self.assertEqual([503], self.call(b"/api/ready", method=b"GET"))
         told.append(1)
         self.assertEqual([200], self.call(b"/api/ready", method=b"GET"))
--- a/tests/mesh/control_api/test_readiness.py
+++ b/tests/mesh/control_api/test_readiness.py
@@ -9,7 +9,7 @@
     STILL_AFTER_S,
     STILL_S,
     Readiness,
-    Standstill,
+    PauseDetector,
 )
 
 
@@ -46,7 +46,7 @@
 class Still(testtools.TestCase):
     def test_what_is_read_right_after_a_standstill_may_be_old(self):
         # Guards: also what is read before the first tick, and what comes out of buffers in the next turns.
-        still = Standstill(10.0, 0.1)
+        still = PauseDetector(10.0, 0.1)
         for number in range(1, 20):
             self.assertEqual(0.0, still.beat(10.0 + 0.1 * number))
         self.assertFalse(still.stale(12.0))
--- a/tests/mesh/dataplane/test_errand.py
+++ b/tests/mesh/dataplane/test_errand.py
@@ -7,7 +7,7 @@
 from foxspread.model import Outcome
 from foxspread.mesh.dataplane.errand import COUNT_S, MARGIN_S, PROMISES, Pass, Refuse, Send, Steering
 from foxspread.mesh.configuration.routes import route_of
-from foxspread.mesh.registry.endpoint_records import Record, Records, server
+from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_instance
 from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.settings import BOUNDS
 from foxspread.sums import Chance
@@ -31,10 +31,10 @@
 
     def __init__(self, test, safe, attempts=2, left=2.0, servers=2, waited=0.0, again=0.0, **bounds):
         self.test, self.now = test, 100.0
-        records = Records()
+        records = EndpointRecords()
         self.upstreams = Upstreams(records)
-        rows = tuple(server([f"i{n}", "s1", "a:1", "z", 4, "ready", 1]) for n in range(servers))
-        records.take(self.now, Record("n", (1, 1), "z", "up", ("n", 70), rows))
+        rows = tuple(unpack_instance([f"i{n}", "s1", "a:1", "z", 4, "ready", 1]) for n in range(servers))
+        records.take(self.now, EndpointRecord("n", (1, 1), "z", "up", ("n", 70), rows))
         self.upstreams.fold(self.now, "n")
         self.steering = Steering("z", self.upstreams, BOUNDS | bounds, Chance(2), lambda: 1)
         told = route(mail_class="safe" if safe else "unsafe", attempts=attempts)
@@ -197,8 +197,8 @@
         # Guards: its record goes, its request ends; the same id may come back, with nothing in flight.
         world = World(self, False)
         upstreams, there = world.upstreams, world.errand.tries[0].upstream
-        for number, rows in ((2, ()), (3, (server([there.id, "s1", "a:1", "z", 4, "ready", 2]),))):
-            upstreams.records.take(world.now, Record("n", (1, number), "z", "up", ("n", 70), rows))
+        for number, rows in ((2, ()), (3, (unpack_instance([there.id, "s1", "a:1", "z", 4, "ready", 2]),))):
+            upstreams.records.take(world.now, EndpointRecord("n", (1, number), "z", "up", ("n", 70), rows))
             upstreams.fold(world.now, "n")
         world.end(0, ENDS["done"])
         self.assertEqual([0, 0], [there.flying, upstreams.service("s1").by_id[there.id].flying])
--- a/tests/mesh/dataplane/test_lasthop.py
+++ b/tests/mesh/dataplane/test_lasthop.py
@@ -3,7 +3,7 @@
 import testtools
 
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART, PRESSED_S, QUEUE_MOST, LastHop, Terms
-from foxspread.mesh.registry.incarnations import DRAINING, READY, Lives
+from foxspread.mesh.registry.incarnations import DRAINING, READY, InstanceTable
 
 DRAIN_S = 2.0
 
@@ -11,7 +11,7 @@
 class LetsThrough(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.lives = Lives(1.0)
+        self.lives = InstanceTable(1.0)
         self.hop = LastHop(self.lives, None, DRAIN_S)
         self.tell(0.0, READY, 1)
 
--- a/tests/mesh/gossip/test_anti_entropy.py
+++ b/tests/mesh/gossip/test_anti_entropy.py
@@ -5,13 +5,13 @@
 
 import testtools
 
-from foxspread.mesh.gossip.anti_entropy import ASKED_S, Asked, Exchange
+from foxspread.mesh.gossip.anti_entropy import ASKED_S, PendingPull, AntiEntropy
 
 
 class Pulls(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.it = Exchange()
+        self.it = AntiEntropy()
         for peer in "abc":
             self.it.met(peer)
 
@@ -72,7 +72,7 @@
 class Notices(testtools.TestCase):
     def test_each_neighbour_is_told_once(self):
         # Guards: a version goes to each neighbour once, an older one never, others' sources only if meant to.
-        it = Exchange(lambda peer, source: source != "theirs")
+        it = AntiEntropy(lambda peer, source: source != "theirs")
         it.have("x", (1, 1))
         it.met("a")
         self.assertEqual({"x": (1, 1)}, it.whole("a"))
@@ -90,7 +90,7 @@
 
     def test_how_many_know(self):
         # Guards: a drain is acknowledged by what neighbours have said, not by what they were sent.
-        it = Exchange()
+        it = AntiEntropy()
         it.have("me", (1, 2))
         for peer in "abc":
             it.met(peer)
@@ -148,13 +148,13 @@
         for source, versions in having.items():
             newest, under_way = max(versions.values()), self.asked.get(source)
             if under_way is None or under_way.version < newest:
-                under_way = Asked(newest, 0.0, set())
+                under_way = PendingPull(newest, 0.0, set())
             elif now < under_way.until:
                 continue
             if under_way.of >= versions.keys():
                 under_way.of.clear()
             name = max((each for each in versions if each not in under_way.of), key=versions.__getitem__)
-            self.asked[source] = Asked(newest, now + ASKED_S, under_way.of | {name})
+            self.asked[source] = PendingPull(newest, now + ASKED_S, under_way.of | {name})
             rows[name][source] = self.mine.get(source, ())
         return list(rows.items())
 
@@ -188,7 +188,7 @@
     def test_every_order_of_few_messages(self):
         # Guards: that less is walked and held changes nothing of what is asked of whom, and told to whom.
         for order in product(STEPS, repeat=4):
-            plain, it, now = Walking(Tells()), Exchange(Tells()), 0.0
+            plain, it, now = Walking(Tells()), AntiEntropy(Tells()), 0.0
             for peer in "abc":
                 plain.met(peer)
                 it.met(peer)
@@ -214,7 +214,7 @@
     def test_nothing_walks_all_that_neighbours_have(self):
         # Guards: a machine with a disk has a neighbour a sidecar and a source a sidecar; a step that walks
         # them all at each message, or a note of each source for each neighbour, grows by their square.
-        it = Exchange(lambda peer, source: peer != source)
+        it = AntiEntropy(lambda peer, source: peer != source)
         for peer in range(200):
             it.met(peer)
             it.whole(peer)
@@ -236,7 +236,7 @@
 
     def test_what_is_forgotten_is_asked_for_again(self):
         # Guards: forgetting a source leaves none of it behind but what neighbours have.
-        it = Exchange()
+        it = AntiEntropy()
         for peer in "ab":
             it.met(peer)
         it.told("a", {"x": (1, 1)})
--- a/tests/mesh/gossip/test_connection_manager.py
+++ b/tests/mesh/gossip/test_connection_manager.py
@@ -15,8 +15,8 @@
     PAUSE_MOST_S,
     SIDES_AFTER_S,
     SIDES_MOST,
-    Dialling,
-    Leaning,
+    ConnectionManager,
+    NeighbourFallback,
 )
 
 
@@ -31,7 +31,7 @@
         self.now, self.live, self.refuse, self.made = 0.0, set(live), set(refuse), []
         self.silent, self.most_at_once = [], 0
         self.cut = set()  # whose contact with a majority is lost
-        self.dialling = Dialling(0.0, own, keeps, seeds, random.Random(seed).random)
+        self.dialling = ConnectionManager(0.0, own, keeps, seeds, random.Random(seed).random)
         self.dialling.agreed(0.0, members)
 
     def step(self, seconds=0.1, times=1):
@@ -173,7 +173,7 @@
         self.assertEqual(21, len(play.dialling.live))
 
     def test_neighbours_are_leant_on_only_where_no_keeper_is_in_contact(self):
-        leaning = Leaning(0.0)
+        leaning = NeighbourFallback(0.0)
         self.assertEqual(0, leaning.wanted(SIDES_AFTER_S, 0, 0))
         self.assertEqual(SIDES_MOST, leaning.wanted(SIDES_AFTER_S + 0.1, 0, 0))
         self.assertEqual(SIDES_MOST - 1, leaning.wanted(SIDES_AFTER_S + 0.1, 0, 1))
--- a/tests/mesh/gossip/test_partial_view.py
+++ b/tests/mesh/gossip/test_partial_view.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from foxspread.mesh.gossip.partial_view import OLD, SIZE, Neighbour, View
+from foxspread.mesh.gossip.partial_view import OLD, SIZE, Neighbour, PartialView
 from foxspread.sums import Chance
 
 
@@ -14,7 +14,7 @@
         self.views = {}
         for number in range(count):
             me = Neighbour(f"n{number}", ("10.0.0.1", number), number < 3)
-            self.views[me.place] = View(me, self.chance.draw)
+            self.views[me.place] = PartialView(me, self.chance.draw)
         for view in self.views.values():
             for seed in list(self.views.values())[:3]:
                 view.met(seed.me)
@@ -70,14 +70,14 @@
     def test_the_younger_word_holds(self):
         # Guards: an old word on a neighbour must not bring back the address that it had before it moved.
         for ages in ((5, 2), (2, 5)):
-            view = View(Neighbour("me", ("a", 1), False), lambda: 0.5)
+            view = PartialView(Neighbour("me", ("a", 1), False), lambda: 0.5)
             for age in ages:
                 row = ["n", ["a", 10 + age], False, age]
                 view.heard({"t": "shuffled", "node": "x", "view": [row]})
             self.assertEqual(("a", 12), view.of["n"].place)
 
     def test_nobody_to_ask(self):
-        view = View(Neighbour("me", ("a", 1), False), lambda: 0.5)
+        view = PartialView(Neighbour("me", ("a", 1), False), lambda: 0.5)
         self.assertIsNone(view.shuffle(0.0))
         view.met(Neighbour("core", ("b", 1), True))
         self.assertEqual([], view.some_sides(2))
--- a/tests/mesh/health/test_upstreams.py
+++ b/tests/mesh/health/test_upstreams.py
@@ -3,7 +3,13 @@
 import testtools
 
 from foxspread.model import Outcome
-from foxspread.mesh.registry.endpoint_records import LEAVING, UP, Record, Records, server
+from foxspread.mesh.registry.endpoint_records import (
+    LEAVING,
+    UP,
+    EndpointRecord,
+    EndpointRecords,
+    unpack_instance,
+)
 from foxspread.mesh.health.health import Health
 from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.sums import Chance
@@ -12,7 +18,7 @@
 class Folds(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.records, self.number = Records(), 0
+        self.records, self.number = EndpointRecords(), 0
         self.upstreams = Upstreams(self.records)
         self.service = self.upstreams.service("s1")
 
@@ -20,11 +26,11 @@
         """Rows: (id, state), or (id, state, service, berths)."""
         self.number += 1
         servers = tuple(
-            server([id, (more or ["s1"])[0], "a:1", zone, (more[1:] or [4])[0], told, 1])
+            unpack_instance([id, (more or ["s1"])[0], "a:1", zone, (more[1:] or [4])[0], told, 1])
             for id, told, *more in rows
         )
         place = (node, 70) if inbound else None
-        self.records.take(0.0, Record(node, (1, self.number), zone, state, place, servers))
+        self.records.take(0.0, EndpointRecord(node, (1, self.number), zone, state, place, servers))
         self.upstreams.fold(0.0, node)
 
     def names(self):
--- a/tests/mesh/helpers.py
+++ b/tests/mesh/helpers.py
@@ -15,8 +15,8 @@
 from foxspread.mesh.dataplane.serving import Serving
 from foxspread.mesh.configuration.items import ROUTE, Item
 from foxspread.mesh.configuration.routes import RouteTable
-from foxspread.mesh.registry.incarnations import Lives
-from foxspread.mesh.registry.endpoint_records import Record, Records, server
+from foxspread.mesh.registry.incarnations import InstanceTable
+from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_instance
 from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.settings import BOUNDS
 from foxspread.sums import Chance
@@ -353,7 +353,7 @@
     in `acts`, in the order in which requests reach them, whichever they are; then they answer."""
 
     def __init__(self, loop, others=("b", "c", "d"), beside=False, aim=0.5, **route_told):
-        self.loop, self.records, self.chance = loop, Records(), Chance(3)
+        self.loop, self.records, self.chance = loop, EndpointRecords(), Chance(3)
         self.upstreams, self.table = Upstreams(self.records), RouteTable()
         self.acts, self.seen, self.first_contact = [], [], []
         self.knows, self.lives, self.hops, self.desks = True, {}, {}, {}
@@ -361,7 +361,7 @@
         self.table.put(route(target_s=aim, **route_told))
         self.app_lanes = []
         for name in ("me", *others):
-            lives = self.lives[name] = Lives(1.0, "z")
+            lives = self.lives[name] = InstanceTable(1.0, "z")
             lanes = Lanes(clock, 6.0)
             self.app_lanes.append(lanes)
             self.hops[name] = Hop(clock, LastHop(lives, (name, 80), BOUNDS["drain_s"]), lanes)
@@ -384,8 +384,8 @@
         self.publish(name, sequence)
 
     def publish(self, name, number):
-        rows = tuple(server(row) for row in self.lives[name].rows(self.loop.now))
-        self.records.take(self.loop.now, Record(name, (1, number), "z", "up", (name, 70), rows))
+        rows = tuple(unpack_instance(row) for row in self.lives[name].rows(self.loop.now))
+        self.records.take(self.loop.now, EndpointRecord(name, (1, number), "z", "up", (name, 70), rows))
         self.upstreams.fold(self.loop.now, name)
 
     def a_server(self):
--- a/tests/mesh/hollow/test_experiment.py
+++ b/tests/mesh/hollow/test_experiment.py
@@ -11,9 +11,9 @@
 
 from foxspread.mesh.__main__ import main
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.configuration.validation import read
+from foxspread.mesh.configuration.validation import parse_call
 from foxspread.mesh.hollow.experiment import Shape, configuration, keepers, sidecars, zone
-from foxspread.mesh.settings import Settings, taken
+from foxspread.mesh.settings import Settings, settings_from
 
 
 class Laid(testtools.TestCase):
@@ -23,7 +23,7 @@
         plot = keepers(shape, pathlib.Path("/nowhere"))
         parts = sidecars(shape, plot, 1000)
         self.assertEqual([200] * 5, [len(part) for part in parts])
-        told = [taken(row) for part in parts for row in part.values()]
+        told = [settings_from(row) for part in parts for row in part.values()]
         self.assertTrue(all(isinstance(each, Settings) for each in told))
         self.assertEqual(1000 + 3, len({each.ip for each in told} | {each.ip for each in plot.machines}))
         counts = [sum(each.zone == zone(shape, n) for each in told) for n in range(shape.zones)]
@@ -32,7 +32,7 @@
 
     def test_its_first_configuration_is_a_valid_one(self) -> None:
         shape = Shape(services=5, routes=7)
-        found = list(read(json.dumps(configuration(shape)).encode()))
+        found = list(parse_call(json.dumps(configuration(shape)).encode()))
         self.assertEqual(13, sum(isinstance(each, Item) for each in found))
         self.assertEqual(13, sum(each is not None for each in found))
 
--- a/tests/mesh/hollow/test_sizing.py
+++ b/tests/mesh/hollow/test_sizing.py
@@ -6,14 +6,14 @@
 from foxspread.mesh.__main__ import main
 from foxspread.mesh.hollow.sizing import filled, items, message, rows, timed, weighed
 from foxspread.mesh.transport.netstrings import encode
-from foxspread.mesh.registry.endpoint_records import record
+from foxspread.mesh.registry.endpoint_records import unpack_record
 
 
 class Weighing(testtools.TestCase):
     def test_what_is_weighed_is_what_is_sent(self) -> None:
         # Guards: records of distinct sidecars, as the parts take them; bytes are those of the wire.
         told = rows(600, 50, 13)
-        records = [record(each) for each in told]
+        records = [unpack_record(each) for each in told]
         self.assertEqual(
             [600, 600, 13],
             [len({f(r) for r in records}) for f in (lambda r: r.node, lambda r: r.inbound, lambda r: r.zone)],
--- a/tests/mesh/hollow/test_traffic_meter.py
+++ b/tests/mesh/hollow/test_traffic_meter.py
@@ -7,7 +7,7 @@
 
 from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
 from foxspread.mesh.hollow.sidecar import Hollow
-from foxspread.mesh.transport.peer_connection import Link
+from foxspread.mesh.transport.peer_connection import PeerConnection
 from foxspread.mesh.transport.netstrings import encode
 from foxspread.mesh.local_cluster.layout import BOUNDS
 from foxspread.mesh.settings import Settings
@@ -35,7 +35,9 @@
         super().setUp()
         self.meter, self.heard = Meter(), []
         self.metered = MeteredLoop(None, ("127.0.0.1", 1), self.meter)
-        link = Link(lambda: 0.0, lambda each: None, lambda each, m: self.heard.append(m), lambda each: None)
+        link = PeerConnection(
+            lambda: 0.0, lambda each: None, lambda each, m: self.heard.append(m), lambda each: None
+        )
         self.link, self.transport = self.metered._counted(link), FakeTransport()
         self.link.connection_made(self.transport)
 
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -4,8 +4,8 @@
 
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART, LastHop, Terms
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.registry.incarnations import DRAINING, READY, Lives
-from foxspread.mesh.registry.drain_propagation import SPREAD_S, Spread
+from foxspread.mesh.registry.incarnations import DRAINING, READY, InstanceTable
+from foxspread.mesh.registry.drain_propagation import SPREAD_S, DrainPropagation
 
 DRAIN_S = 2.0
 
@@ -14,7 +14,7 @@
     def test_it_waits_for_others_but_not_for_long(self):
         # Guards: an acknowledgement that hangs on keepers, one that comes before anybody was told.
         for guards in (True, False):
-            wait = Spread(10.0, guards)
+            wait = DrainPropagation(10.0, guards)
             self.assertIsNone(wait.outcome(10.0, 0, [], 3))
             self.assertIsNone(wait.outcome(10.1, 1, ["k1", "k2", "k3"], 3))
             self.assertTrue(wait.outcome(10.1, 2, ["k1", "k2", "k3"], 3))
@@ -32,7 +32,7 @@
         self.begin()
 
     def begin(self):
-        self.lives = Lives(1.0, "z")
+        self.lives = InstanceTable(1.0, "z")
         self.hop = LastHop(self.lives, ("127.0.0.1", 8147), DRAIN_S)
 
     def beat(self, now, state, sequence):
--- a/tests/mesh/registry/test_incarnations.py
+++ b/tests/mesh/registry/test_incarnations.py
@@ -4,8 +4,13 @@
 
 import testtools
 
-from foxspread.mesh.registry.incarnations import DRAINING, ENDED_KEPT_S, GONE, MISSED, READY, Lives
-from foxspread.mesh.registry.endpoint_records import Record, Records, record, server
+from foxspread.mesh.registry.incarnations import DRAINING, ENDED_KEPT_S, GONE, MISSED, READY, InstanceTable
+from foxspread.mesh.registry.endpoint_records import (
+    EndpointRecord,
+    EndpointRecords,
+    unpack_record,
+    unpack_instance,
+)
 from foxspread.mesh.errors import Failure
 
 BEAT = {"service": "s1", "address": "a:80", "berths": 4, "state": READY, "sequence": 1}
@@ -26,7 +31,7 @@
         # Guards: a late beat changes nothing; a drain is final, a leave still more, also where it overtakes
         # the drain or the first beat of all; what ended is refused from then on.
         for order in permutations(TOLD):
-            lives, left, drained = Lives(1.0), False, False
+            lives, left, drained = InstanceTable(1.0), False, False
             for number, name in enumerate(order):
                 outcome = TOLD[name](lives, float(number))
                 if left:
@@ -37,7 +42,7 @@
 
     def test_a_lower_number_after_a_higher(self):
         # Guards: what an older beat says is not news, whatever it says.
-        lives = Lives(1.0)
+        lives = InstanceTable(1.0)
         self.assertTrue(lives.beat(0.0, "i", BEAT | {"sequence": 5, "berths": 9}))
         for late in ({"sequence": 4, "berths": 1}, {"sequence": 5, "state": DRAINING}):
             self.assertIs(False, lives.beat(0.1, "i", BEAT | late))
@@ -45,7 +50,7 @@
 
     def test_only_what_others_have_to_know_is_news(self):
         # Guards: a beat a second of each server must not be a message a second to all sidecars.
-        lives = Lives(1.0)
+        lives = InstanceTable(1.0)
         changes = ({}, {"berths": 5}, {"berths": 5, "state": DRAINING}, {"address": "b:80"}, {"zone": "z"})
         self.assertTrue(lives.beat(0.0, "i", BEAT | {"cold_s_time": 3.0}))
         self.assertIs(False, lives.beat(0.1, "i", BEAT | {"cold_s_time": 2.9, "sequence": 2}))
@@ -55,7 +60,7 @@
     def test_a_drain_told_to_an_earlier_process(self):
         # Guards: who is draining when first heard of may have been acknowledged before this process began, so
         # its part of `drain_s` may be over.
-        lives = Lives(1.0)
+        lives = InstanceTable(1.0)
         lives.beat(9.0, "i", BEAT | {"state": DRAINING})
         lives.beat(9.0, "j", BEAT | {"sequence": 1})
         lives.beat(9.5, "j", BEAT | {"state": DRAINING, "sequence": 2})
@@ -64,7 +69,7 @@
     def test_missed_beats(self):
         # Guards: a silent server is gone, one that speaks again is back, a draining one is not ready again;
         # and the silence of a process that stood still itself is nobody's.
-        lives = Lives(1.0)
+        lives = InstanceTable(1.0)
         lives.beat(0.0, "i", BEAT)
         self.assertFalse(lives.sweep(MISSED - 0.1))
         self.assertTrue(lives.sweep(MISSED + 0.1))
@@ -79,7 +84,7 @@
 
     def test_nothing_is_kept_for_ever(self):
         # Guards: ids of silent and of ended lives have an end of their own.
-        lives = Lives(1.0)
+        lives = InstanceTable(1.0)
         lives.beat(0.0, "i", BEAT | {"state": DRAINING})
         lives.leave(0.0, "j")
         lives.sweep(ENDED_KEPT_S + 1.0)
@@ -87,11 +92,11 @@
             self.assertEqual({}, kept)
 
     def test_rows_say_how_long_a_server_is_still_cold(self):
-        lives = Lives(1.0, zone="here")
+        lives = InstanceTable(1.0, zone="here")
         lives.beat(0.0, "i", BEAT | {"cold_s_time": 5.0})
         (row,) = lives.rows(2.0)
-        self.assertEqual((3.0, "here"), (server(row).warm_in, server(row).zone))
-        self.assertEqual(0.0, server(lives.rows(9.0)[0]).warm_in)
+        self.assertEqual((3.0, "here"), (unpack_instance(row).warm_in, unpack_instance(row).zone))
+        self.assertEqual(0.0, unpack_instance(lives.rows(9.0)[0]).warm_in)
 
 
 class RecordsTaken(testtools.TestCase):
@@ -99,20 +104,22 @@
         # Guards: merge by version, not by arrival; of a later life before more of an earlier one.
         rows = [["n", [life, number], "z", "up", "a:1", []] for life, number in ((1, 1), (1, 9), (2, 1))]
         for order in permutations(rows):
-            records = Records()
-            taken = [records.take(0.0, record(row)) for row in order]
+            records = EndpointRecords()
+            taken = [records.take(0.0, unpack_record(row)) for row in order]
             self.assertEqual((2, 1), records.of["n"].version)
             self.assertTrue(taken[0])
-            self.assertFalse(records.take(0.0, record(order[0])))
-        whole = Record("n", (1, 2), "z", "up", ("a", 1), (server(["i", "s", "a:2", "z", 3, READY, 4]),))
-        self.assertEqual(whole, record(whole.packed()))
+            self.assertFalse(records.take(0.0, unpack_record(order[0])))
+        whole = EndpointRecord(
+            "n", (1, 2), "z", "up", ("a", 1), (unpack_instance(["i", "s", "a:2", "z", 3, READY, 4]),)
+        )
+        self.assertEqual(whole, unpack_record(whole.packed()))
 
     def test_who_may_go_while_others_of_its_zone_are_out(self):
         # Guards: stopped in turn at short gaps, all of a zone would be away at once and callers find nobody.
-        records = Records()
+        records = EndpointRecords()
 
         def told(now, node, state, number=1, zone="z", life=1):
-            records.take(now, record([node, [life, number], zone, state, "a:1", []]))
+            records.take(now, unpack_record([node, [life, number], zone, state, "a:1", []]))
 
         for node in "abc":
             told(0.0, node, "up")
@@ -136,9 +143,9 @@
             ["keeper", [1, 1], "z", "up", "", []],
         ]
         for order in permutations(rows):
-            records = Records()
+            records = EndpointRecords()
             for number, row in enumerate(order):
-                records.take(float(number), record(row))
+                records.take(float(number), unpack_record(row))
                 sides = [each for each in records.of.values() if each.inbound is not None]
                 self.assertEqual(len(sides), records.sidecars, order)
                 zones = {zone: {each.node for each in sides if each.zone == zone} for zone in "zy"}
--- a/tests/mesh/replication/make_stored_data.py
+++ b/tests/mesh/replication/make_stored_data.py
@@ -22,8 +22,8 @@
 
 from foxspread.mesh.configuration.items import KEPT, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
 from foxspread.mesh.replication.acceptor import Acceptor, Saved
-from foxspread.mesh.replication.storage import Disk
-from foxspread.mesh.replication.membership import changed
+from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.membership import membership_change
 from foxspread.mesh.replication.replica import Replica
 from tests.mesh.replication.test_stored_data import (
     NEW_DISK,
@@ -56,7 +56,7 @@
         self.network, self.name = network, name
         self.folder = network.root / name
         self.calls: queue.SimpleQueue = queue.SimpleQueue()
-        self.disk = Disk(str(self.folder), self.calls.put)
+        self.disk = Storage(str(self.folder), self.calls.put)
         saved = self.disk.open(SEEDS, first)
         self.durable: list[
             tuple[int, Saved]
@@ -161,7 +161,7 @@
     members = network.voters["a"].replica.acceptor.members
     disks = network.voters["a"].replica.acceptor.disks_known
     lease = Item(LEASE, MEMBERS, 2, {"holder": "b", "life": "b5"})
-    must(network.settle("b", lease, changed(members, [*members.of, "d"], disks)))
+    must(network.settle("b", lease, membership_change(members, [*members.of, "d"], disks)))
     # r4, dropped before this ballot, is forgotten; s5, dropped with it, stays known as dropped.
     horizon = list(network.voters["c"].replica.acceptor.copy.upto)
     forget = Item(KEPT, "dropped", 1, {"floor": 2, "at": horizon})
--- a/tests/mesh/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import SERVICE, Item
-from foxspread.mesh.replication.learner import row
+from foxspread.mesh.replication.learner import pack_row
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.replication.acceptor import AHEAD_MOST, DISKS_MOST, Acceptor, Saved
 
@@ -17,7 +17,7 @@
         # Guards the way of items to a machine that was cut off: its copy had them, its routes never did.
         acceptor = Acceptor("a", Saved((0, "a0"), ("a", "b", "c"), voting=True, known=True))
         accept = {"t": "accept", "b": (2, "b"), "e": 0, "s": (1, "b"), "since": (0, ""), "disks": {}}
-        accept |= {"ahead": [row(service("v"), (1, "b"))], "delta": [service("w").packed()]}
+        accept |= {"ahead": [pack_row(service("v"), (1, "b"))], "delta": [service("w").packed()]}
         _, answer, new = acceptor.accept(accept)
         self.assertEqual(("accepted", [service("v")]), (answer["t"], new))
 
--- a/tests/mesh/replication/test_learner.py
+++ b/tests/mesh/replication/test_learner.py
@@ -3,8 +3,17 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import KEPT, REFUSED, ROUTE, SERVICE, Item
-from foxspread.mesh.errors import Broken
-from foxspread.mesh.replication.learner import NONE, START, Copy, place_of, row, sealed, unrow, whole
+from foxspread.mesh.errors import InvariantViolation
+from foxspread.mesh.replication.learner import (
+    NONE,
+    START,
+    Learner,
+    offset_of,
+    pack_row,
+    chunk_digest,
+    unpack_row,
+    end_of_proposal,
+)
 
 LIFE = "w"
 
@@ -33,14 +42,14 @@
     return Item(KEPT, "dropped", version, {"floor": floor, "at": [number, LIFE]})
 
 
-def settled(*changes: tuple[int, list[Item]]) -> Copy:
-    copy = Copy()
+def settled(*changes: tuple[int, list[Item]]) -> Learner:
+    copy = Learner()
     for number, items in changes:
         copy.fold(at(number), [(item, at(number)) for item in items])
     return copy
 
 
-def names(copy: Copy) -> set[str]:
+def names(copy: Learner) -> set[str]:
     return {f"{item.name}{item.version}" for item in copy.items.values()}
 
 
@@ -56,37 +65,43 @@
             sizes.append(len(piece.rows))
             if not piece.more:
                 break
-            place = place_of(piece.rows[-1])
-        self.assertEqual(sorted(found, key=place_of), found)
-        self.assertEqual(copy.items, {item.key: item for item, _ in map(unrow, found)})
+            place = offset_of(piece.rows[-1])
+        self.assertEqual(sorted(found, key=offset_of), found)
+        self.assertEqual(copy.items, {item.key: item for item, _ in map(unpack_row, found)})
         self.assertEqual(len(found), len(copy.items))
         self.assertGreater(len(sizes), 8)
         self.assertIn(1, sizes)  # the large one
-        self.assertEqual((at(3), [], False), (piece.upto, copy.piece(whole(at(2))).rows, piece.more))
+        self.assertEqual(
+            (at(3), [], False), (piece.upto, copy.piece(end_of_proposal(at(2))).rows, piece.more)
+        )
 
     def test_a_digest_stands_for_all_that_is_said(self) -> None:
         copy = settled((1, [service("a", 1), service("b", 1)]))
         piece = copy.piece(START, 1)
         said = (piece.rows, START, piece.upto, piece.more, piece.horizon)
-        self.assertEqual(piece.digest, sealed(*said))
-        others = (copy.piece().rows, whole(at(1)), at(2), False, at(1))
+        self.assertEqual(piece.digest, chunk_digest(*said))
+        others = (copy.piece().rows, end_of_proposal(at(1)), at(2), False, at(1))
         for number, other in enumerate(others):
-            self.assertNotEqual(piece.digest, sealed(*said[:number], other, *said[number + 1 :]), number)
+            self.assertNotEqual(
+                piece.digest, chunk_digest(*said[:number], other, *said[number + 1 :]), number
+            )
 
     def test_without_a_disk_nothing_of_the_keepers_own(self) -> None:
         past = (3, ((4, "digest"),))
         rows = [Item(SERVICE, "a", 5, {}, past), refused("r", 3), kept_refused(1, 2), kept_dropped(1, 2, 0)]
         piece = settled((1, rows)).piece(bare=True)
         self.assertEqual(
-            [row(kept_dropped(1, 2, 0), at(1)), row(Item(SERVICE, "a", 5, {}), at(1))], piece.rows
+            [pack_row(kept_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))], piece.rows
         )
 
     def test_places_that_are_stale_do_not_pile_up(self) -> None:
-        copy = Copy()
+        copy = Learner()
         for number in range(1, 2000):
             copy.fold(at(number), [(service(f"s{number % 5}", number), at(number))])
         self.assertLess(len(copy.order), 100)
-        self.assertEqual(["s1", "s2", "s3", "s4"], [each[1] for each in copy.piece(whole(at(1995))).rows])
+        self.assertEqual(
+            ["s1", "s2", "s3", "s4"], [each[1] for each in copy.piece(end_of_proposal(at(1995))).rows]
+        )
 
 
 class Folded(TestCase):
@@ -95,9 +110,9 @@
         copy = settled((1, [service("a", 5)]))
         grown = Item(SERVICE, "a", 5, {"tag": 0}, (3, ((4, "digest"),)))
         self.assertEqual([], copy.fold(at(2), [(grown, at(2))]))
-        self.assertEqual([grown], [unrow(each)[0] for each in copy.piece(whole(at(1))).rows])
+        self.assertEqual([grown], [unpack_row(each)[0] for each in copy.piece(end_of_proposal(at(1))).rows])
         other = Item(SERVICE, "a", 5, {"tag": 1}, (3, ()))
-        self.assertRaises(Broken, copy.fold, at(3), [(other, at(3))])
+        self.assertRaises(InvariantViolation, copy.fold, at(3), [(other, at(3))])
 
     def test_refusals_are_collected_by_the_agreed_clock(self) -> None:
         # Now, and whenever one of that time comes later, in one fold or in many; the clock never goes back.
@@ -110,7 +125,7 @@
         self.assertEqual({"b1", "a1", "s1", "refused1"}, names(copy))
         self.assertEqual(12, copy.clock)
         late = settled(changes[0])
-        rows = [unrow(each) for each in copy.piece(whole(at(1))).rows]
+        rows = [unpack_row(each) for each in copy.piece(end_of_proposal(at(1))).rows]
         late.fold(at(3), rows)  # its refusal of `a` is another than the one that was collected
         self.assertEqual((copy.items, copy.at, copy.clock), (late.items, late.at, late.clock))
         self.assertEqual([], late.collected)  # its row on a disk is the new one
@@ -123,7 +138,7 @@
         second = (2, [dropped("a", 2), dropped("b", 7), service("c", 2)])
         third = (3, [dropped("d", 3)])
         copy = settled(first, second, third)
-        early = [unrow(each) for each in copy.piece().rows]
+        early = [unpack_row(each) for each in copy.piece().rows]
         copy.fold(at(4), [(kept_dropped(1, 3, 2), at(4))])
         self.assertEqual({"b7", "c2", "d3", "dropped1"}, names(copy))
         self.assertEqual((at(2), [(SERVICE, "a")]), (copy.horizon, copy.collected))
@@ -138,8 +153,8 @@
             (2, [dropped("a", 2), kept_refused(1, 3)]),
             (3, [kept_dropped(1, 2, 2), service("b", 3)]),
         )
-        again = Copy()
-        again.fold(copy.upto, [unrow(row(item, copy.at[key])) for key, item in copy.items.items()])
+        again = Learner()
+        again.fold(copy.upto, [unpack_row(pack_row(item, copy.at[key])) for key, item in copy.items.items()])
         for each in (copy, again):
             each.order, each.collected = each.piece().rows, []
         self.assertEqual(vars(copy), vars(again))
@@ -150,7 +165,7 @@
         # What was dropped and collected while it was away is told as dropped, before what took its place.
         old = settled((1, [service("a", 1), Item(ROUTE, "r", 1, {}), refused("x", 1)]))
         new = settled((7, [service("a", 6), service("b", 7), kept_dropped(1, 5, 6)]))
-        told = old.replace(new.upto, [unrow(each) for each in new.piece().rows])
+        told = old.replace(new.upto, [unpack_row(each) for each in new.piece().rows])
         self.assertEqual(Item(ROUTE, "r", 1, None), told[0])
         self.assertEqual({"a6", "b7", "dropped1"}, {f"{each.name}{each.version}" for each in told[1:]})
         self.assertEqual({(ROUTE, "r"), (REFUSED, "x")}, set(old.collected))
@@ -164,4 +179,4 @@
             self.assertEqual([], copy.replace(upto, []))
         self.assertEqual(held, copy.items)
         for wrong in (service("a", 1), service("a", 2, "other")):
-            self.assertRaises(Broken, copy.replace, at(6), [(wrong, at(6))])
+            self.assertRaises(InvariantViolation, copy.replace, at(6), [(wrong, at(6))])
--- a/tests/mesh/replication/test_quorum_contact.py
+++ b/tests/mesh/replication/test_quorum_contact.py
@@ -9,15 +9,15 @@
     REPORTS_MOST,
     ROUNDS_MOST,
     TELL_S,
-    Contact,
+    QuorumContact,
     Report,
-    Starts,
-    report,
+    StartHistory,
+    unpack_report,
 )
-from foxspread.mesh.replication.membership import Members
+from foxspread.mesh.replication.membership import MemberSet
 
 OLD, NEW, NEWER = (3, "a"), (5, "b"), (6, "a")
-THREE = Members(0, ("m1", "m2", "m3"))
+THREE = MemberSet(0, ("m1", "m2", "m3"))
 
 
 def said(member, seen=NEW, votes=True, epoch=0):
@@ -27,13 +27,13 @@
 class Contacts(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.contact = Contact("m1", 100)
+        self.contact = QuorumContact("m1", 100)
 
     def asked(self, now, own=None):
         return self.contact.ask(now, own or said("m1", OLD))
 
     def told(self, now, asking, told):
-        self.contact.heard(now, told.member, Contact.answer(asking, told))
+        self.contact.heard(now, told.member, QuorumContact.answer(asking, told))
 
     def test_an_age_counts_from_the_asking_that_a_majority_answered(self):
         self.assertIsNone(self.contact.age(0.0))
@@ -62,21 +62,21 @@
             [said("m2", epoch=1)],
             [said("m3", OLD, False, 1), said("m2")],
         ):
-            self.contact = Contact("m1", 100)
+            self.contact = QuorumContact("m1", 100)
             asking = self.asked(1.0)
             for each in case:
                 self.told(1.1, asking, each)
             self.contact.held(THREE, NEWER)
             self.assertIsNone(self.contact.age(1.2), case)
-        self.contact = Contact("m1", 100)
+        self.contact = QuorumContact("m1", 100)
         self.told(1.0, self.asked(1.0), said("m3", OLD, False, 1))
         asking = self.asked(2.0)
         self.told(2.1, {"n": 7}, said("m2"))
-        self.contact.heard(2.1, "m3", Contact.answer(asking, said("m2")))
-        self.contact.held(Members(1, THREE.of), NEWER)
+        self.contact.heard(2.1, "m3", QuorumContact.answer(asking, said("m2")))
+        self.contact.held(MemberSet(1, THREE.of), NEWER)
         self.assertIsNone(self.contact.age(2.2))
         self.told(2.2, asking, said("m2", epoch=1))
-        self.contact.held(Members(1, THREE.of), NEWER)
+        self.contact.held(MemberSet(1, THREE.of), NEWER)
         self.assertAlmostEqual(0.3, self.contact.age(2.3))
 
     def test_what_a_standby_has_seen_is_not_waited_for(self):
@@ -88,7 +88,7 @@
 
     def test_one_that_does_not_vote_wants_a_majority_of_others(self):
         for me, own in (("m1", said("m1", votes=False)), ("s1", said("s1"))):
-            self.contact = Contact(me)
+            self.contact = QuorumContact(me)
             asking = self.asked(1.0, own)
             self.told(1.1, asking, said("m2"))
             self.contact.held(THREE, NEW)
@@ -101,7 +101,7 @@
         # Guards: in whatever order answers of two askings and rows come, an age never counts from an asking
         # whose answers tell of something that is not held.
         for order in itertools.permutations(range(5)):
-            self.contact = Contact("m1")
+            self.contact = QuorumContact("m1")
             first, second = self.asked(1.0), self.asked(2.0)
             upto = OLD
             steps = (
@@ -136,7 +136,7 @@
 
     def test_a_report_comes_as_it_was_sent(self):
         sent = Report("m1", True, 3, OLD, NEW, "z", True, ("m1", "m2"), (2, "d"))
-        self.assertEqual(sent, report(sent.packed()))
+        self.assertEqual(sent, unpack_report(sent.packed()))
 
 
 class OlderDisks(testtools.TestCase):
@@ -151,18 +151,18 @@
             (("b", (0, "e"), 1, one), False),  # one that was never synced
             (("a", (0, "d"), 5, one), False),  # the same life, held up on its way
         ):
-            starts = Starts()
+            starts = StartHistory()
             self.assertFalse(starts.told("m", "a", (0, "d"), 5, one))
             self.assertFalse(starts.told("m", "a", (0, "d"), 5, other))
             self.assertEqual(past, starts.told("m", *told), told)
-        starts = Starts()
+        starts = StartHistory()
         starts.told("m", "a", (2, "d"), 5, one)
         self.assertTrue(starts.told("m", "b", (1, "x"), 9, other))  # of before it was wiped
         self.assertTrue(starts.told("m", "b", (1, "x"), 9, other))  # and is so until it has enrolled
         self.assertFalse(starts.told("m", "b", (3, "y"), 9, one))
 
     def test_as_many_as_are_heard_are_kept(self) -> None:
-        starts = Starts()
+        starts = StartHistory()
         for n in range(REPORTS_MOST + 1):
             starts.told(f"m{n}", "a", (0, "d"), 5, (1, "p"))
         self.assertEqual(REPORTS_MOST, len(starts.of))
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -8,11 +8,11 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import LEASE, Item
-from foxspread.mesh.errors import conflict, unsettled
+from foxspread.mesh.errors import conflict, outcome_unknown
 from foxspread.mesh.replication import reconfiguration as r
 from foxspread.mesh.replication.quorum_contact import Report
-from foxspread.mesh.replication.learner import Copy
-from foxspread.mesh.replication.membership import Members, members_of, one_step, quorum
+from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
 
 TICK_S = 0.1
 
@@ -24,22 +24,22 @@
 
     def __init__(self, keepers: str, machines: int = 1, zones: int = 0, fate: dict | None = None) -> None:
         self.names, self.now, self.machines, self.zones = keepers.split(), 50.0, machines, zones
-        self.members, self.lease = Members(0, tuple(sorted(self.names[:3]))), None
+        self.members, self.lease = MemberSet(0, tuple(sorted(self.names[:3]))), None
         self.up, self.leaving, self.mute = set(self.names), set(), set()
         self.behind: dict[str, int] = {}  # keepers whose copy stays at an epoch
         self.lags: set[str] = set()  # keepers that lack what was settled after it
         self.deaf: set[str] = set()  # "ab": a does not hear b
         self.heard = {name: self.now for name in self.names}
         self.reports: dict[str, tuple[float, Report]] = {}
-        self.cores = {name: r.Replacement(name, f"{name}+1", lambda: 0.5) for name in self.names}
+        self.cores = {name: r.Reconfiguration(name, f"{name}+1", lambda: 0.5) for name in self.names}
         self.log: list[tuple[float, str, tuple[str, ...]]] = []  # changes: when, by whom, the set
         self.calls: list[tuple[str, list[Item]]] = []
         self.fate, self.asked, self.at_epoch = fate or {}, 0, {}
         self.least = 3
 
-    def view(self, name: str, age: float | None = 0.1) -> r.View:
+    def view(self, name: str, age: float | None = 0.1) -> r.ClusterView:
         upto = (self.members.epoch, "+")
-        return r.View(
+        return r.ClusterView(
             name, self.members, self.lease, dict(self.reports), upto, self.machines, self.zones, age
         )
 
@@ -62,19 +62,19 @@
         for name, items in calls:
             self.asked += 1
             fate = self.fate.get(self.asked, "")
-            outcome = unsettled("lost") if fate == "lost" else self.put(name, items)
-            self.cores[name].told(self.now, outcome if fate != "told late" else unsettled("late"))
+            outcome = outcome_unknown("lost") if fate == "lost" else self.put(name, items)
+            self.cores[name].told(self.now, outcome if fate != "told late" else outcome_unknown("late"))
 
     def put(self, name: str, items: list[Item]):
         lease, *change = items
         if lease.kind != LEASE or lease.version != (self.lease.version if self.lease else 0) + 1:
             return conflict("lease")
-        sets = [self.members, *map(members_of, change)]
-        if not quorum(sets, self.up - self.mute):
-            return unsettled("no majority")
+        sets = [self.members, *map(member_set_of, change)]
+        if not is_quorum(sets, self.up - self.mute):
+            return outcome_unknown("no majority")
         self.lease = lease
         for new in sets[1:]:
-            assert new.epoch == self.members.epoch + 1 and one_step(self.members, new), "one step"
+            assert new.epoch == self.members.epoch + 1 and differs_by_one(self.members, new), "one step"
             assert set(change[0].content["disks"]) <= set(new.of), "the disks of its members"
             came = set(new.of) - set(self.members.of)
             assert not came & (self.mute | set(self.behind) | self.leaving), "no candidate"
@@ -155,7 +155,7 @@
         self.assertEqual("a1 c3 d1", field.run(1).of())
 
     def test_sizes(self) -> None:
-        found = {case: r.wanted(*case[:2], {n: n for n in "abcdefg"[: case[2]]}) for case in SIZES}
+        found = {case: r.target_size(*case[:2], {n: n for n in "abcdefg"[: case[2]]}) for case in SIZES}
         self.assertEqual(SIZES, found)
 
     def test_seeds_of_one_zone_are_spread(self) -> None:
@@ -247,21 +247,21 @@
 class Wiring(TestCase):
     def test_what_a_node_hands_in_and_where_a_call_goes(self) -> None:
         # The reports of others as contact has them, this one's own as of now, the lease as settled.
-        copy, put = Copy(), []
+        copy, put = Learner(), []
         held = Item(LEASE, "members", 4, {"holder": "c3", "life": "c3+1"})
         copy.fold((7, "c"), [(held, (7, "c"))])
         told = {n: Report(n, True, 2, (7, "c"), (7, "c"), n[1:], hears=("a1", "c3", "d1")) for n in HEARD}
         told["d1"] = replace(told["d1"], zone="2")
         heard = {name: (told[name], 10.0) for name in ("c3", "d1")}
-        members, core = Members(2, ("a1", "b2", "c3")), r.Replacement("a1", "a1+1", lambda: 0.0)
+        members, core = MemberSet(2, ("a1", "b2", "c3")), r.Reconfiguration("a1", "a1+1", lambda: 0.0)
         for tick in range(60):
             now = 10.0 + tick * TICK_S
             heard = {name: (report, now) for name, (report, _) in heard.items()}
-            view = r.View.of(now, told["a1"], members, copy, heard, 0.0, 1, 0)
+            view = r.ClusterView.of(now, told["a1"], members, copy, heard, 0.0, 1, 0)
             core.tend(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
         self.assertEqual(1, len(put))  # one under way at the most
-        put[0][1](unsettled("lost"))
+        put[0][1](outcome_unknown("lost"))
         self.assertIsNone(core.asked)
 
 
@@ -318,7 +318,7 @@
                 field.run(0.8).down(name).run(1.0)
                 field.leaving = set()
                 field.up.add(name)
-                field.cores[name] = r.Replacement(name, f"{name}+2", lambda: 0.5)
+                field.cores[name] = r.Reconfiguration(name, f"{name}+2", lambda: 0.5)
             field.run(10)
             self.assertEqual((keepers, 3), (keepers, len(set(field.members.of) & field.up)))
 
@@ -355,7 +355,7 @@
             mine = core.step(field.now, view)
             theirs = field.cores[other].step(field.now, field.view(other))
             if mine is not None:
-                core.told(field.now, unsettled("lost"))
+                core.told(field.now, outcome_unknown("lost"))
             since = field.now - at
             if mine is not None and len(mine) > 1:
                 self.assertTrue(since < r.LEASE_S - r.SPARE_S, since)
--- a/tests/mesh/replication/test_snapshot_transfer.py
+++ b/tests/mesh/replication/test_snapshot_transfer.py
@@ -12,11 +12,11 @@
     ASKED_MOST_S,
     ASKED_S,
     CEILING_S,
-    CatchUp,
+    SnapshotTransfer,
     Message,
-    Taken,
+    ReceivedRows,
 )
-from foxspread.mesh.replication.learner import NONE, Copy, place, unrow, whole
+from foxspread.mesh.replication.learner import NONE, Learner, unpack_offset, unpack_row, end_of_proposal
 from tests.mesh.replication.test_learner import at, dropped, kept_dropped, names, service, settled
 
 CHANGES = [
@@ -38,7 +38,7 @@
 ]
 
 
-def upto(number: int) -> Copy:
+def upto(number: int) -> Learner:
     return settled(*((place + 1, items) for place, items in enumerate(CHANGES[:number])))
 
 
@@ -50,16 +50,16 @@
     return orjson.loads(orjson.dumps(message))
 
 
-def answered(copy: Copy, message: Message, age: float | None = 0.0, most: int = 1) -> Message:
+def answered(copy: Learner, message: Message, age: float | None = 0.0, most: int = 1) -> Message:
     """With `most` bytes a piece."""
     small = Small(copy, most)
-    return through(CatchUp.answer(small, through(message), age, True))
+    return through(SnapshotTransfer.answer(small, through(message), age, True))
 
 
 class Small:
     """A copy that tells in small pieces."""
 
-    def __init__(self, copy: Copy, most: int) -> None:
+    def __init__(self, copy: Learner, most: int) -> None:
         self.copy, self.most = copy, most
 
     def __getattr__(self, name: str) -> object:
@@ -69,21 +69,21 @@
         return self.copy.piece(after, self.most, bare)
 
 
-def cloned(taker: CatchUp) -> CatchUp:
+def cloned(taker: SnapshotTransfer) -> SnapshotTransfer:
     """With containers of its own."""
-    clone = object.__new__(CatchUp)
+    clone = object.__new__(SnapshotTransfer)
     vars(clone).update({k: v.copy() if isinstance(v, dict) else v for k, v in vars(taker).items()})
-    clone.copy = Copy()
+    clone.copy = Learner()
     vars(clone.copy).update(
         {k: v.copy() if isinstance(v, (dict, list)) else v for k, v in vars(taker.copy).items()}
     )
     return clone
 
 
-def fold(copy: Copy, taken: Taken | None) -> list[Item]:
+def fold(copy: Learner, taken: ReceivedRows | None) -> list[Item]:
     if taken is None:
         return []
-    return (copy.replace if taken.replaced else copy.fold)(taken.upto, map(unrow, taken.rows))
+    return (copy.replace if taken.replaced else copy.fold)(taken.upto, map(unpack_row, taken.rows))
 
 
 class Orders(TestCase):
@@ -91,7 +91,7 @@
         """Everything that can come about with that many changes known at the start to the taker and to the
         tellers, pieces of one row, so many answers under way at the most: each whole is the set as it
         was settled. Returns how many states and wholes there were."""
-        catch_up = CatchUp(upto(start), lambda: 0.0)
+        catch_up = SnapshotTransfer(upto(start), lambda: 0.0)
         states, wholes = [(tellers, catch_up, ())], 0
         seen = set()
         while states:
@@ -159,10 +159,10 @@
         self.now = 0.0
         self.draws = 0.0
 
-    def taker(self, held: int = 0, **settings: float) -> CatchUp:
-        return CatchUp(upto(held), lambda: self.draws, **settings)
+    def taker(self, held: int = 0, **settings: float) -> SnapshotTransfer:
+        return SnapshotTransfer(upto(held), lambda: self.draws, **settings)
 
-    def asked(self, taker: CatchUp) -> tuple[str, Message]:
+    def asked(self, taker: SnapshotTransfer) -> tuple[str, Message]:
         ((peer, message),) = taker.step(self.now)
         return peer, message
 
@@ -306,7 +306,11 @@
         taker.told("k", at(5))
         peer, message = self.asked(taker)
         self.assertEqual(list(at(2)), list(message["since"]))
-        forged = {**through(upto(5).piece(place(message["after"])).packed()), "n": message["n"], "age": 0.0}
+        forged = {
+            **through(upto(5).piece(unpack_offset(message["after"])).packed()),
+            "n": message["n"],
+            "age": 0.0,
+        }
         for told in (answered(upto(5), message), forged):
             hearer = deepcopy(taker)
             hearer.heard(self.now, peer, told)
@@ -317,7 +321,7 @@
         taker.told("k", at(4))
         peer, message = self.asked(taker)
         taker.heard(self.now, peer, answered(upto(4), message))
-        taker.copy.fold(at(4), [unrow(each) for each in upto(4).piece(whole(at(1))).rows])
+        taker.copy.fold(at(4), [unpack_row(each) for each in upto(4).piece(end_of_proposal(at(1))).rows])
         self.assertEqual(([], {}, None), (taker.step(self.now), taker.staged, taker.wake_at()))
 
     def test_bytes_a_second_are_bounded(self) -> None:
@@ -346,5 +350,5 @@
         self.assertEqual(set("klm"), found)
 
 
-def names_of(taken: Taken) -> set[str]:
+def names_of(taken: ReceivedRows) -> set[str]:
     return {f"{each[1]}{each[2]}" for each in taken.rows}
--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -11,8 +11,8 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import KEPT, REFUSED, SERVICE, Item
-from foxspread.mesh.replication.learner import row, unrow
-from foxspread.mesh.replication.storage import FILE, Disk, older
+from foxspread.mesh.replication.learner import pack_row, unpack_row
+from foxspread.mesh.replication.storage import FILE, Storage, is_older
 from foxspread.mesh.replication.acceptor import Saved, Acceptor
 
 MEMBERS = ("a", "b", "c")
@@ -28,9 +28,9 @@
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder)
 
-    def disk(self) -> Disk:
+    def disk(self) -> Storage:
         self.later: queue.Queue = queue.Queue()
-        return Disk(self.folder, self.later.put)
+        return Storage(self.folder, self.later.put)
 
     def opened(self, first: bool = False) -> Saved:
         disk = self.disk()
@@ -52,7 +52,7 @@
 
     def test_what_was_told_as_written_is_there(self) -> None:
         # The whole of what an acceptor writes, read back as an acceptor would be: nothing forgotten by name.
-        rows = [row(service("v"), (2, "w"))]
+        rows = [pack_row(service("v"), (2, "w"))]
         acceptor = Acceptor("a", Saved((0, "a"), MEMBERS, voting=True, known=True))
         asked = {"b": (3, "w"), "e": 0, "s": (2, "w"), "since": (0, ""), "ahead": rows, "disks": {}}
         accept = acceptor.accept({**asked, "delta": [service("w").packed()]})[0]
@@ -64,7 +64,7 @@
         self.assertEqual(vars(acceptor.copy), vars(again.copy))
 
     def test_what_was_collected_is_gone(self) -> None:
-        rows = [row(service(f"s{number}"), (2, "w")) for number in range(600)]
+        rows = [pack_row(service(f"s{number}"), (2, "w")) for number in range(600)]
         self.written([("items", rows)], [("drop", [[SERVICE, "s7"], [SERVICE, "none"]])])
         self.assertEqual({each[1] for each in rows} - {"s7"}, {each[1] for each in self.opened().rows})
 
@@ -88,7 +88,9 @@
             for name in os.listdir(self.folder):
                 os.remove(os.path.join(self.folder, name))
             self.written(*steps[:number])
-            self.assertEqual(items, {item.key: item for item, _ in map(unrow, self.opened().rows)}, number)
+            self.assertEqual(
+                items, {item.key: item for item, _ in map(unpack_row, self.opened().rows)}, number
+            )
 
     def test_starts_are_counted_before_anything_else_is_done(self) -> None:
         # A file put back from before has a start too few, or has forgotten what it told others that it
@@ -99,12 +101,12 @@
         saved = [self.opened() for _ in range(2)]
         self.assertEqual([2, 3], [each.boots for each in saved])
         held = [(saved[-1].boots, saved[-1].promised)]
-        self.assertFalse(older(4, (3, "w"), held))
-        self.assertFalse(older(1, (0, ""), []))
+        self.assertFalse(is_older(4, (3, "w"), held))
+        self.assertFalse(is_older(1, (0, ""), []))
         shutil.move(kept, path)
         before = self.opened()
-        self.assertEqual((2, True), (before.boots, older(before.boots, before.promised, held)))
-        self.assertTrue(older(9, (3, "w"), [(2, (3, "x"))]))
+        self.assertEqual((2, True), (before.boots, is_older(before.boots, before.promised, held)))
+        self.assertTrue(is_older(9, (3, "w"), [(2, (3, "x"))]))
         db = sqlite3.connect(path)
         db.execute("DELETE FROM meta WHERE name = 'boots'")
         db.commit()
@@ -160,7 +162,7 @@
             error.sqlite_errorcode = sqlite3.SQLITE_FULL
             sealed = mock.Mock(side_effect=[error, (b"1", 0)])
             with mock.patch("time.sleep") as slept:
-                with mock.patch("foxspread.mesh.replication.storage._sealed", sealed):
+                with mock.patch("foxspread.mesh.replication.storage._seal", sealed):
                     self.assertEqual(1 if first else 2, disk.open(MEMBERS, first).boots)
             self.assertEqual(1, slept.call_count)
             disk.db.close()
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -23,9 +23,9 @@
     place_of,
     services_of,
 )
-from foxspread.mesh.configuration.idempotency import digest_of_order, judged
+from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
 from foxspread.mesh.replication.acceptor import Acceptor, Saved
-from foxspread.mesh.replication.storage import Disk
+from foxspread.mesh.replication.storage import Storage
 from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
@@ -66,7 +66,7 @@
 
 def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
     """All that a voter finds on its disk. This, `as_json` and `meaning` are all here that name the code."""
-    disk = Disk(str(folder), lambda call: None)
+    disk = Storage(str(folder), lambda call: None)
     saved = disk.open(SEEDS, False)
     disk.db.close()
     return as_json(saved, name)
@@ -95,7 +95,7 @@
 
 def meaning(folder: pathlib.Path, name: str) -> dict[str, Any]:
     """What a voter makes of its rows: kinds and keys of content are part of what is stored."""
-    disk = Disk(str(folder), lambda call: None)
+    disk = Storage(str(folder), lambda call: None)
     acceptor = Acceptor(name, disk.open(SEEDS, False))
     disk.db.close()
     held = acceptor.copy.items
@@ -119,7 +119,7 @@
 
 def answer(held: Mapping[tuple[str, str], Item], order: list[Item]) -> Any:
     """What is settled for an order, and what its operator is told."""
-    rows, outcome = judged(held, order, digest_of_order(order), 100.0)
+    rows, outcome = apply_change(held, order, digest_of_change(order), 100.0)
     told = True if outcome is True else [outcome.status, outcome.reason]
     return [[item.packed() for item in rows.values()], told]
 
--- a/tests/mesh/simulation/test_invariants.py
+++ b/tests/mesh/simulation/test_invariants.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.errors import conflict, unsettled
+from foxspread.mesh.errors import conflict, outcome_unknown
 from foxspread.mesh.simulation.invariants import BACK_S, FRESH_S, PAST_KEPT, Call, Judge
 from tests.mesh.replication.scripted_replicas import route, service
 
@@ -117,7 +117,7 @@
             ),
             "confirmed, another was in force": (told((True, OTHER), seen=(V1, V2)), "one content"),
             "overtaken, confirmed again": (told((True, V1), (True, V2), (True, V1)), None),
-            "overtaken, no clear answer": (told((True, V1), (True, V2), (unsettled(""), V1)), None),
+            "overtaken, no clear answer": (told((True, V1), (True, V2), (outcome_unknown(""), V1)), None),
             "taken, then refused": (told((True, V1), (True, V2), (conflict(""), V1)), "one answer"),
             "refused, then taken": (told((conflict(""), V1), (True, V1)), "one answer"),
             "refused twice": (told((conflict(""), V1), (conflict(""), V1)), None),
@@ -155,6 +155,6 @@
 
     def test_a_call_without_a_clear_answer_may_be_in_force(self) -> None:
         judge = shows(("a", V1))
-        call(judge, unsettled("no majority"), V1)
+        call(judge, outcome_unknown("no majority"), V1)
         judge.close()
         self.assertEqual([], judge.breaks)
--- a/tests/mesh/simulation/test_members.py
+++ b/tests/mesh/simulation/test_members.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item
-from foxspread.mesh.replication.membership import Members, changed
+from foxspread.mesh.replication.membership import MemberSet, membership_change
 from foxspread.mesh.simulation.mutants import CORES, InPieces
 from foxspread.mesh.simulation.explore import Case, Table, explore
 from foxspread.mesh.simulation.machines import Cores
@@ -16,7 +16,7 @@
 
 
 def to(new: str, old: tuple[str, ...] = FOUR) -> Item:
-    return changed(Members(0, old), new)
+    return membership_change(MemberSet(0, old), new)
 
 
 def two_changes(cores: Cores) -> Table:
@@ -57,7 +57,7 @@
 
     def test_the_next_change_waits_for_the_last(self) -> None:
         # Taken over unsettled and changed on, two machines go in one step.
-        second = changed(Members(1, ("a", "b", "c")), "ab")
+        second = membership_change(MemberSet(1, ("a", "b", "c")), "ab")
         for cores, faults in (
             (CORES["changes of members at once"], ["members@r2 was in force before members@r1"]),
             (Cores(), []),
--- a/tests/mesh/test_emulators.py
+++ b/tests/mesh/test_emulators.py
@@ -10,10 +10,10 @@
 
 from foxspread.mesh.dataplane.lanes import Lanes
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits, Serving
-from foxspread.mesh.settings import Address, shown
-from foxspread.mesh.emulators.http_call import Reply, asked, written
+from foxspread.mesh.settings import Address, format_address
+from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
 from foxspread.mesh.emulators.client import judged
-from foxspread.mesh.emulators.event_record import Ledger
+from foxspread.mesh.emulators.event_record import EventRecord
 from foxspread.mesh.emulators.operator import Operator
 from foxspread.mesh.emulators.server import Server, Told
 
@@ -55,9 +55,9 @@
             self.control = Scripted(*(answers or [(200, b"{}", [])]))
             control = await self.control.start()
             given = {"berths": 2, "work_s": 0.02, "heartbeat_s": 0.02, "drain_s": 0.05, **told}
-            self.ledger, self.crashes = Ledger(), []
+            self.ledger, self.crashes = EventRecord(), []
             self.server = Server(
-                Told("press", "127.0.0.1:0", shown(control), **given),
+                Told("press", "127.0.0.1:0", format_address(control), **given),
                 self.ledger,
                 lambda: self.crashes.append(1),
             )
@@ -77,7 +77,7 @@
     async def ask(self, id: str = "a", deadline_ms: int = 4000, path: str = "/pick/", **more: str) -> Reply:
         lines = [f"X-Deadline-Ms: {deadline_ms}"] + ([f"X-Request-Id: {id}"] if id else [])
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
-        parts = written("GET", path, "orchard.example", lines)
+        parts = encode_request("GET", path, "orchard.example", lines)
         return await asked(self.lanes, self.place, parts, PATIENCE_S)
 
     def runs(self) -> list[str]:
@@ -143,7 +143,7 @@
             other = Scripted((200, b"{}", []))
             place = await other.start()
             self.control.answers = [
-                (200, b'{"report_to":"%b"}' % shown(place).encode(), []),
+                (200, b'{"report_to":"%b"}' % format_address(place).encode(), []),
                 (200, b"{}", []),
             ]
             await seen(lambda: len(other.asked) >= 2)
@@ -192,7 +192,7 @@
             desks = [Scripted((200, b"{}", [])) for _ in range(4)]
             places = [await each.start() for each in desks]
             for desk, place in zip(desks, places[1:]):
-                location = b"Location: http://%b/api/Config.Get\r\n" % shown(place).encode()
+                location = b"Location: http://%b/api/Config.Get\r\n" % format_address(place).encode()
                 desk.answers = [(307, b"", [location])]
             lanes = Lanes(asyncio.get_running_loop().time, 5.0)
             self.assertEqual(200, (await Operator(places[1:2], lanes).get_at(places[1])).status)
--- a/tests/mesh/test_local_cluster.py
+++ b/tests/mesh/test_local_cluster.py
@@ -9,9 +9,9 @@
 import testtools
 import uvloop
 
-from foxspread.mesh.local_cluster.supervisor import Nursery, pid_of
-from foxspread.mesh.local_cluster.layout import Plot, laid, read
-from foxspread.mesh.local_cluster.smoke_test import Figures, Trial
+from foxspread.mesh.local_cluster.supervisor import Supervisor, pid_of
+from foxspread.mesh.local_cluster.layout import Layout, create_layout, read
+from foxspread.mesh.local_cluster.smoke_test import Figures, SmokeTest
 
 MOST_S = 60.0  # far over what it takes
 
@@ -21,7 +21,7 @@
         super().setUp()
         self.folder = tempfile.mkdtemp(prefix="mesh-test-")
         net = f"127.{10 + os.getpid() // 250 % 240}.{os.getpid() % 250}"  # of this process alone
-        self.plot = laid(self.folder, 3, 2, net)
+        self.plot = create_layout(self.folder, 3, 2, net)
 
     def test_what_up_starts_serves_through_a_change_and_two_deaths(self) -> None:
         said: list[str] = []
@@ -47,17 +47,17 @@
         shutil.rmtree(self.folder)
 
 
-async def played(plot: Plot, said: list[str]) -> Figures:
+async def played(plot: Layout, said: list[str]) -> Figures:
     """The nursery ends its processes in any case."""
     stop, up = asyncio.Event(), asyncio.Event()
     async with asyncio.timeout(MOST_S):
-        growing = asyncio.get_running_loop().create_task(Nursery(plot, said.append).run(stop, up.set))
+        growing = asyncio.get_running_loop().create_task(Supervisor(plot, said.append).run(stop, up.set))
         try:
             waiting = asyncio.get_running_loop().create_task(up.wait())
             await asyncio.wait([waiting, growing], return_when=asyncio.FIRST_COMPLETED)
             if growing.done():
                 growing.result()
-            return await Trial(plot, said.append, pace=150.0).run(300)
+            return await SmokeTest(plot, said.append, pace=150.0).run(300)
         finally:
             stop.set()
             await growing
--- a/tests/mesh/test_node.py
+++ b/tests/mesh/test_node.py
@@ -17,11 +17,11 @@
 from foxspread.mesh import log
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, SERVICE, Item
 from foxspread.mesh.node import SETTLED, Node
-from foxspread.mesh.replication.quorum_contact import TELL_S, Contact, Report
-from foxspread.mesh.replication.snapshot_transfer import CatchUp
-from foxspread.mesh.replication.learner import START, Copy, packed_place, row
-from foxspread.mesh.replication.membership import Members
-from foxspread.mesh.settings import FILE_VARIABLE, read, taken
+from foxspread.mesh.replication.quorum_contact import TELL_S, QuorumContact, Report
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
+from foxspread.mesh.replication.learner import START, Learner, pack_offset, pack_row
+from foxspread.mesh.replication.membership import MemberSet
+from foxspread.mesh.settings import FILE_VARIABLE, read_settings, settings_from
 
 FILE = {
     "node": "side-1",
@@ -42,7 +42,7 @@
         self.path = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()), "node.json")
         self.enterContext(mock.patch.dict(os.environ, {FILE_VARIABLE: str(self.path)}))
         self.lines = io.StringIO()
-        log.start("side-1")
+        log.configure_logging("side-1")
         log.LOGGER.handlers[:] = [logging.StreamHandler(self.lines)]
 
     def told(self, **changes: object) -> None:
@@ -53,7 +53,7 @@
 
         async def play() -> None:
             self.told()
-            node = Node(read(), asyncio.get_running_loop())
+            node = Node(read_settings(), asyncio.get_running_loop())
             self.told(first_start=False)
             node._reread()
             self.assertEqual("", self.lines.getvalue())
@@ -74,7 +74,7 @@
         async def called(ip: str) -> set[str]:
             told = {"node": f"core-{ip}", "serves": ["control"], "ip": ip, "data_dir": "x", "seeds": seeds}
             node = Node(
-                taken({**FILE, **told, "counters": {"control": f"{ip}:8146"}}),
+                settings_from({**FILE, **told, "counters": {"control": f"{ip}:8146"}}),
                 asyncio.get_running_loop(),
             )
             node.keeper = object()
@@ -113,7 +113,7 @@
                 raise TimeoutError
 
             node = Node(
-                taken(copy_module.deepcopy(FILE)),
+                settings_from(copy_module.deepcopy(FILE)),
                 mock.Mock(time=loop.time, create_connection=create_connection),
             )
             place = ("127.0.0.2", 7660)
@@ -132,7 +132,7 @@
 
     def node(self, loop: asyncio.AbstractEventLoop, ip: str, **changes: object) -> Node:
         told = {"node": f"n-{ip}", "ip": ip, "counters": {"control": f"{ip}:8146"}}
-        node = Node(taken({**FILE, **told, **changes}), loop)
+        node = Node(settings_from({**FILE, **told, **changes}), loop)
         node.now = 1000.0
         node.clock = lambda: node.now
         return node
@@ -143,7 +143,7 @@
         async def play() -> None:
             loop = asyncio.get_running_loop()
             node = self.node(loop, "127.0.0.1", data_dir="x", serves=["control"])
-            members = Members(0, ("127.0.0.1:8146", "m2", "m3"))
+            members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
             node.keeper = SimpleNamespace(acceptor=SimpleNamespace(known=True), members=members, fresh=True)
             node.keepers = {"m2": "k2"}
             past = (0, ((1, "d"),))
@@ -154,7 +154,7 @@
             def pieces(peer: str) -> list[dict]:
                 sent = []
                 link = SimpleNamespace(peer=peer, send=sent.append)
-                node._heard(link, {"t": "piece", "n": 1, "after": packed_place(START)})
+                node._heard(link, {"t": "piece", "n": 1, "after": pack_offset(START)})
                 return sent
 
             def told(peer: str) -> tuple[bool, bool, int]:
@@ -166,13 +166,13 @@
             self.assertEqual((True, False, 2), told("k2"))
             asking = node.contact.ask(node.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
             node.contact.heard(
-                node.now, "m2", Contact.answer(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
+                node.now, "m2", QuorumContact.answer(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
             )
             node.now += 1.0
             self.assertEqual((True, True, 1), told("side"))
             news = node._news("side", pull)
             self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
-            self.assertEqual([row(rows[0].bare, (4, "l"))], pieces("side")[0]["rows"])
+            self.assertEqual([pack_row(rows[0].bare, (4, "l"))], pieces("side")[0]["rows"])
             node.keeper.acceptor.known = False  # its disk came back empty: members are known from seeds only
             self.assertEqual((False, False, 0), told("side"))
             node.keeper.acceptor.known = True
@@ -188,7 +188,7 @@
         async def play() -> None:
             node = self.node(asyncio.get_running_loop(), "127.0.0.9")
             item = Item(SERVICE, "s", 2, {"name": "s"})
-            there, have = Copy(), {"t": "have", "v": {SETTLED: [4, "l"]}}
+            there, have = Learner(), {"t": "have", "v": {SETTLED: [4, "l"]}}
             there.fold((4, "l"), [(item, (4, "l"))])
 
             def takes(node: Node, peer: str, at: float, age: float | None) -> list:
@@ -198,7 +198,9 @@
                 asked = node.catchup.step(at)
                 node.now = 1000.0
                 for name, message in asked:
-                    node._heard(SimpleNamespace(peer=name), CatchUp.answer(there, message, age, False))
+                    node._heard(
+                        SimpleNamespace(peer=name), SnapshotTransfer.answer(there, message, age, False)
+                    )
                 return [name for name, _ in asked]
 
             for at, age, ready in ((1000.0, None, False), (1000.0, 9.0, False), (980.0, 0.1, False),
@@ -225,7 +227,7 @@
 
     def test_its_clock_goes_on_while_the_machine_is_suspended(self) -> None:
         async def play() -> None:
-            node = Node(taken(FILE), asyncio.get_running_loop())
+            node = Node(settings_from(FILE), asyncio.get_running_loop())
             with mock.patch("time.clock_gettime", lambda which: 7e9 + which):
                 self.assertEqual(7e9 + time.CLOCK_BOOTTIME, node.clock())
 
--- a/tests/mesh/transport/test_peer_connection.py
+++ b/tests/mesh/transport/test_peer_connection.py
@@ -3,10 +3,10 @@
 import testtools
 
 from foxspread.mesh.configuration.items import SERVICE, Item
-from foxspread.mesh.transport.peer_connection import HELD_MOST, Link
+from foxspread.mesh.transport.peer_connection import WRITE_BUFFER_LIMIT_BYTES, PeerConnection
 from foxspread.mesh.transport.netstrings import MOST, Decoder
-from foxspread.mesh.replication.snapshot_transfer import CatchUp
-from foxspread.mesh.replication.learner import PIECE_BYTES, Copy
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
+from foxspread.mesh.replication.learner import PIECE_BYTES, Learner
 
 
 class Stuck:
@@ -29,7 +29,9 @@
     def setUp(self):
         super().setUp()
         self.ended = []
-        self.link = Link(lambda: 0.0, lambda link: None, lambda link, message: None, self.ended.append)
+        self.link = PeerConnection(
+            lambda: 0.0, lambda link: None, lambda link, message: None, self.ended.append
+        )
         self.transport = Stuck()
         self.link.connection_made(self.transport)
 
@@ -41,7 +43,7 @@
         self.assertEqual(
             (True, "reads too slowly", [self.link]), (self.transport.aborted, self.link.why, self.ended)
         )
-        self.assertLess(len(self.transport.held), HELD_MOST + 1_000_000)
+        self.assertLess(len(self.transport.held), WRITE_BUFFER_LIMIT_BYTES + 1_000_000)
 
     def test_what_is_too_large_is_not_sent_and_ends_nothing(self):
         self.link.send({"t": "accept", "delta": "a" * MOST})
@@ -50,15 +52,15 @@
 
     def test_a_catch_up_never_waits_with_more_than_a_piece(self):
         # However large the set: one piece is asked for at a time, and that is all that a slow taker holds up.
-        copy = Copy()
+        copy = Learner()
         items = [Item(SERVICE, f"s{number}", 1, {"tag": "x" * 300}) for number in range(3000)]
         copy.fold((1, "w"), [(item, (1, "w")) for item in items])
-        taker = CatchUp(Copy(), lambda: 0.0)
+        taker = SnapshotTransfer(Learner(), lambda: 0.0)
         taker.told("k", copy.upto)
         pieces = 0
         while asked := taker.step(0.0):
             self.transport.held = b""
-            told = CatchUp.answer(copy, asked[0][1], 0.0, True)
+            told = SnapshotTransfer.answer(copy, asked[0][1], 0.0, True)
             self.link.send(told)
             self.assertLess(len(self.transport.held), PIECE_BYTES + 1000)
             pieces += 1
