--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -59,7 +59,7 @@
 
     def told() -> None:
         rows = [each.holder.acting(clock()) for each in followers]
-        on = [each.phase for each in rows if each.mode is Mode.SETTLED]
+        on = [each.phase for each in rows if each.mode is Mode.COMMITTED_SET]
         print(json.dumps({"at": time.monotonic(), "settled": len(on), "least": min(on, default=0),
                           "all": len(followers) == count, "asks": sum(each.calls for each in followers),
                           "failed": sum(each.failed for each in followers)}), flush=True)  # fmt: skip
@@ -110,16 +110,16 @@
             self.last[first] = json.loads(line)
             self.said.set()
 
-    def settled(self, phase: int) -> int:
+    def committed(self, phase: int) -> int:
         """How many act on this phase or a later one, where all of a process do."""
         return sum(row["settled"] for row in self.last.values() if row["least"] >= phase)
 
     async def until(self, phase: int, within: float) -> float:
         """Seconds until all act on it."""
         begun = time.monotonic()
-        while self.settled(phase) < self.count:
+        while self.committed(phase) < self.count:
             if time.monotonic() - begun > within:
-                raise TimeoutError(f"{self.settled(phase)} of {self.count} on phase {phase}: {self.last}")
+                raise TimeoutError(f"{self.committed(phase)} of {self.count} on phase {phase}: {self.last}")
             self.said.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
@@ -239,7 +239,7 @@
                 "known": {"version": 1, "full": True, "servers": known}}  # fmt: skip
         self.config.write_text(json.dumps(told))
         self.file.write_text(f"[agreed]\ncoordinators = {json.dumps(ways)}\n" if ways else "")
-        self.count, self.took, self.cores, self.settled = 0, [], [], asyncio.Event()
+        self.count, self.took, self.cores, self.committed = 0, [], [], asyncio.Event()
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
@@ -256,7 +256,7 @@
     async def _drain(self) -> None:
         while line := await self.process.stderr.readline():
             if b"mode=settled phase=4" in line:
-                self.settled.set()
+                self.committed.set()
 
     async def client(self, until: float, every: float) -> int:
         done = 0
@@ -289,7 +289,7 @@
         try:
             for each in both:
                 await each.start()
-            await both[1].settled.wait()  # a fleet that is new takes a lease for its first version
+            await both[1].committed.wait()  # a fleet that is new takes a lease for its first version
             for each in both:
                 await each.round(1.0, 8, 0.02)
                 each.took, each.cores = [], []
--- a/bench/catching_up.py
+++ b/bench/catching_up.py
@@ -43,16 +43,16 @@
 
 def held(items: int) -> Learner:
     """A first call of all of them, and as many changes as there are hundreds."""
-    copy = Learner()
-    copy.fold((1, "life"), [(route(number, 1), (1, "life")) for number in range(items)])
+    learner = Learner()
+    learner.fold((1, "life"), [(route(number, 1), (1, "life")) for number in range(items)])
     for number in range(items // 100):
-        change(copy, items)
-    return copy
+        change(learner, items)
+    return learner
 
 
-def change(copy: Learner, items: int) -> None:
-    at = (copy.upto[0] + 1, "life")
-    copy.fold(at, [(route(at[0] * 37 % items, at[0]), at)])
+def change(learner: Learner, items: int) -> None:
+    at = (learner.committed_number[0] + 1, "life")
+    learner.fold(at, [(route(at[0] * 37 % items, at[0]), at)])
 
 
 def caught_up(items: int, mbit: float) -> str:
@@ -77,7 +77,7 @@
         now += spent
         return there
 
-    taker.told("k", teller.upto)
+    taker.told("k", teller.committed_number)
     while True:
         asked, spent = timed(taker.step, now)
         if not asked:
@@ -97,9 +97,9 @@
         pieces += 1
         if taken is not None:
             break
-    _, spent = timed(taker.copy.fold, taken.upto, [unpack_row(each) for each in taken.rows])
+    _, spent = timed(taker.learner.fold, taken.committed_number, [unpack_row(each) for each in taken.rows])
     now += spent
-    assert taker.copy.items == teller.items
+    assert taker.learner.items == teller.items
     return (
         f"| {items:,} | {mbit:g} | {now:.3f} | {size / 1000:.0f} | {pieces} | {1000 * spent_teller:.0f} |"
         f" {1000 * (spent_taker + spent):.0f} | {1000 * longest:.1f} |"
@@ -109,13 +109,13 @@
 def memory(items: int) -> str:
     """Of a copy, and of what is staged beside it until the whole has come."""
     tracemalloc.start()
-    copy = held(items)
+    learner = held(items)
     own = tracemalloc.get_traced_memory()[0]
     taker = SnapshotTransfer(Learner(), lambda: 0.5)
-    taker.told("k", copy.upto)
+    taker.told("k", learner.committed_number)
     staged = 0
     while asked := taker.step(1e9):
-        (told,) = Decoder().feed(encode(SnapshotTransfer.answer(copy, asked[0][1], 0.0, True)))
+        (told,) = Decoder().feed(encode(SnapshotTransfer.answer(learner, asked[0][1], 0.0, True)))
         if taker.heard(1e9, "k", told) is not None:
             break
         staged = tracemalloc.get_traced_memory()[0] - own
@@ -129,11 +129,14 @@
     disk = Storage(folder, later.put)
     saved = disk.open(("a", "b", "c"), True)
     disk.start()
-    copy = held(items)
-    rows = [pack_row(*each) for each in copy.since((0, ""))]
+    learner = held(items)
+    rows = [pack_row(*each) for each in learner.since((0, ""))]
     gaps, last = [], time.perf_counter()
     began = last
-    disk.put([*Acceptor("a", saved).first(), ("items", rows), ("meta", "settled", copy.upto)], lambda: None)
+    disk.put(
+        [*Acceptor("a", saved).first(), ("items", rows), ("meta", "settled", learner.committed_number)],
+        lambda: None,
+    )
     done = threading.Event()
 
     def end() -> None:
@@ -153,7 +156,7 @@
     opened = time.perf_counter() - began
     acceptor = Acceptor("a", found)
     whole = time.perf_counter() - began
-    assert acceptor.copy.items == copy.items
+    assert acceptor.learner.items == learner.items
     again.db.close()
     size = sum(os.path.getsize(os.path.join(folder, name)) for name in os.listdir(folder))
     shutil.rmtree(folder)
--- a/bench/orchard_orders.py
+++ b/bench/orchard_orders.py
@@ -60,8 +60,8 @@
 
 
 async def main(folder: str, sizes: list[int]) -> None:
-    plot = read(folder)
-    machines = [*plot.of(CORE), plot.of(SIDE)[0]]
+    layout = read(folder)
+    machines = [*layout.of(CORE), layout.of(SIDE)[0]]
     worst: dict[str, float] = {}
     tasks = [asyncio.create_task(asked(each.place("control"), each.node, worst)) for each in machines]
 
--- a/foxspread/mesh/__main__.py
+++ b/foxspread/mesh/__main__.py
@@ -61,43 +61,43 @@
     from foxspread.mesh.emulators.server import shares
 
     try:
-        plot, found = (
+        layout, found = (
             create_layout(folder or tempfile.mkdtemp(prefix="mesh-"), core, side, net),
             shares(faults),
         )
-        uvloop.run(kept_up(plot, found))
+        uvloop.run(kept_up(layout, found))
     except ValueError as error:
         raise click.UsageError(str(error)) from None
     except LayoutError as error:
         raise click.ClickException(str(error)) from None
 
 
-async def kept_up(plot: "Layout", faults: dict[str, float]) -> None:
+async def kept_up(layout: "Layout", faults: dict[str, float]) -> None:
     """Until a signal; a second one ends it at once."""
     from foxspread.mesh.local_cluster.supervisor import Supervisor
 
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
-    nursery = Supervisor(plot, click.echo, faults)
+    supervisor = Supervisor(layout, click.echo, faults)
 
     def ended() -> None:
         if stop.is_set():
-            nursery.kill()
+            supervisor.kill()
         else:
             click.echo("ending; once more kills")
             stop.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended)
-    await nursery.run(stop, lambda: click.echo(where(plot)))
+    await supervisor.run(stop, lambda: click.echo(where(layout)))
 
 
-def where(plot: "Layout") -> str:
+def where(layout: "Layout") -> str:
     """What is where, as a table."""
     from foxspread.mesh.local_cluster.layout import SIDE
     from foxspread.mesh.settings import format_address
 
     rows = [("NODE", "ZONE", "CONTROL", "OUTBOUND", "SERVER")]
-    for each in plot.machines:
+    for each in layout.machines:
         side = each.kind == SIDE
         control, outbound = (
             format_address(each.place("control")),
@@ -107,8 +107,8 @@
     widths = [max(len(row[n]) for row in rows) for n in range(5)]
     lines = ["  ".join(text.ljust(width) for text, width in zip(row, widths)).rstrip() for row in rows]
     lines += [
-        f"up, process {os.getpid()}; settings, data and logs: {plot.folder}",
-        f"try it: python -m foxspread.mesh try {plot.folder}",
+        f"up, process {os.getpid()}; settings, data and logs: {layout.folder}",
+        f"try it: python -m foxspread.mesh try {layout.folder}",
         "end it: ^C",
     ]
     return "\n".join(lines)
--- a/foxspread/mesh/configuration/idempotency.py
+++ b/foxspread/mesh/configuration/idempotency.py
@@ -167,6 +167,6 @@
     oldest = dropped[: len(dropped) - DROPPED_REST]
     before = held.get((KEPT, "dropped"))
     floor = max([item.version for item in oldest] + ([before.content["floor"]] if before else []))
-    ballot = max(at[item.key] for item in oldest)
+    proposal_number = max(at[item.key] for item in oldest)
     version = before.version + 1 if before is not None else 1
-    return {(KEPT, "dropped"): Item(KEPT, "dropped", version, {"floor": floor, "at": list(ballot)})}
+    return {(KEPT, "dropped"): Item(KEPT, "dropped", version, {"floor": floor, "at": list(proposal_number)})}
--- a/foxspread/mesh/configuration/routes.py
+++ b/foxspread/mesh/configuration/routes.py
@@ -20,8 +20,8 @@
 
     def service(self, draw: float) -> str:
         """By random share; `draw` is from 0 up to 1."""
-        for name, upto in self.services:
-            if draw < upto:
+        for name, committed_number in self.services:
+            if draw < committed_number:
                 return name
         return self.services[-1][0]
 
@@ -29,10 +29,10 @@
 def route_of(item: Item) -> Route:
     rule = item.content["rule"]
     split = [(name, weight) for name, weight in services_of(item.content) if weight > 0]
-    total, upto, parts = sum(weight for _, weight in split), 0.0, []
+    total, committed_number, parts = sum(weight for _, weight in split), 0.0, []
     for name, weight in split:
-        upto += weight / total
-        parts.append((name, upto))
+        committed_number += weight / total
+        parts.append((name, committed_number))
     dispatch = rule["dispatch"]
     return Route(
         item.name,
--- a/foxspread/mesh/control_api/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -18,14 +18,14 @@
 
     def __init__(
         self,
-        keeper: ReplicaServer | None,
+        replica_server: ReplicaServer | None,
         elsewhere: Callable[[], str | None],
         stale: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.keeper, self.elsewhere, self.stale = keeper, elsewhere, stale
+        self.replica_server, self.elsewhere, self.stale = replica_server, elsewhere, stale
 
     async def post_patch(self, id: str, body: bytes) -> dict | Failure | Elsewhere:
-        if self.keeper is None:
+        if self.replica_server is None:
             return self._on("Config.Patch")
         if self.stale():
             return outcome_unknown(STOOD_STILL)
@@ -44,7 +44,7 @@
                 items.append(step)
         if self.stale():
             return outcome_unknown(STOOD_STILL)
-        outcome = await self.keeper.submit(items)
+        outcome = await self.replica_server.submit(items)
         log_event(
             "config",
             items=len(items),
@@ -54,12 +54,12 @@
         return {} if outcome is True else outcome
 
     async def get_get(self, id: str, body: bytes) -> dict | Failure | Elsewhere:
-        if self.keeper is None:
+        if self.replica_server is None:
             return self._on("Config.Get")
         if self.stale():
             return outcome_unknown(STOOD_STILL)
-        outcome = await self.keeper.submit([])
-        return laid_out(self.keeper.acceptor.copy.items.values()) if outcome is True else outcome
+        outcome = await self.replica_server.submit([])
+        return laid_out(self.replica_server.acceptor.learner.items.values()) if outcome is True else outcome
 
     def _on(self, call: str) -> Failure | Elsewhere:
         place = self.elsewhere()
--- a/foxspread/mesh/control_api/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -35,11 +35,11 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        lives: InstanceTable,
+        instances: InstanceTable,
         changed: Callable[[], None],
         spread: Callable[[], Awaitable[bool]],
     ) -> None:
-        self.clock, self.lives, self.changed, self.spread = clock, lives, changed, spread
+        self.clock, self.instances, self.changed, self.spread = clock, instances, changed, spread
 
     async def post_beat(self, id: str, body: bytes) -> dict | Failure:
         try:
@@ -50,7 +50,7 @@
             return Failure("wants an id in its path")
         if (fault := first_fault(beat, BEAT)) is not None:
             return Failure(fault)
-        news = self.lives.beat(self.clock(), id, beat)
+        news = self.instances.beat(self.clock(), id, beat)
         if isinstance(news, Failure):
             return news
         if news:
@@ -63,7 +63,7 @@
         return {}
 
     async def post_leave(self, id: str, body: bytes) -> dict | Failure:
-        if self.lives.leave(self.clock(), id):
+        if self.instances.leave(self.clock(), id):
             log_event("server", id=id, state="left")
             self.changed()
         return {}
--- a/foxspread/mesh/dataplane/lasthop.py
+++ b/foxspread/mesh/dataplane/lasthop.py
@@ -42,8 +42,8 @@
 
 
 class LastHop:
-    def __init__(self, lives: InstanceTable, app: Address | None, drain_s: float) -> None:
-        self.lives, self.app, self.drain_s = lives, app, drain_s
+    def __init__(self, instances: InstanceTable, app: Address | None, drain_s: float) -> None:
+        self.instances, self.app, self.drain_s = instances, app, drain_s
         self.holding: dict[str, Holding] = {}
         self.runs = Runs()
 
@@ -55,10 +55,10 @@
 
     def closed(self, now: float, id: str) -> Failure | None:
         """Why nothing more may reach that life. Asked again before the first byte: connecting takes time."""
-        server = self.lives.servers.get(id)
+        server = self.instances.servers.get(id)
         if server is None or server.state == GONE:
             return Failure("gone")
-        if server.state == DRAINING and now - self.lives.draining_at[id] > DRAIN_PART * self.drain_s:
+        if server.state == DRAINING and now - self.instances.draining_at[id] > DRAIN_PART * self.drain_s:
             return Failure("draining")
         return None
 
@@ -66,7 +66,7 @@
         """Where to hand it over; counted as held from then on, until `released`."""
         if (closed := self.closed(now, id)) is not None:
             return closed
-        server, holding = self.lives.servers[id], self.of(id)
+        server, holding = self.instances.servers[id], self.of(id)
         mean = holding.took.read(now)
         wait = max(0, holding.busy + 1 - server.berths) * mean / server.berths
         high = terms.rank <= HIGH
@@ -90,6 +90,8 @@
 
     def sweep(self) -> None:
         for id in [
-            each for each, held in self.holding.items() if not held.busy and each not in self.lives.servers
+            each
+            for each, held in self.holding.items()
+            if not held.busy and each not in self.instances.servers
         ]:
             del self.holding[id]
--- a/foxspread/mesh/gossip/connection_manager.py
+++ b/foxspread/mesh/gossip/connection_manager.py
@@ -44,9 +44,9 @@
 
 class ConnectionManager:
     def __init__(
-        self, now: float, own: Address, keeps: bool, seeds: Iterable[Address], draw: Callable[[], float]
+        self, now: float, own: Address, has_storage: bool, seeds: Iterable[Address], draw: Callable[[], float]
     ) -> None:
-        self.own, self.keeps, self.draw = own, keeps, draw
+        self.own, self.has_storage, self.draw = own, has_storage, draw
         self.seeds: frozenset[Address] = frozenset()
         self.members: frozenset[Address] = frozenset()
         self.of: dict[Address, KnownAddress] = {}
@@ -109,7 +109,7 @@
             return
         there.calling = False
         first = REFUSED_S if refused else SILENT_S
-        most = PAUSE_MOST_KEEPERS_S if self.keeps else PAUSE_MOST_S
+        most = PAUSE_MOST_KEEPERS_S if self.has_storage else PAUSE_MOST_S
         if place not in self.lasting:
             most = PAUSE_MOST_REST_S
         pause = min(most, first * 2 ** min(there.vain // VAIN, 10))
@@ -122,7 +122,7 @@
     def live(self) -> list[Address]:
         return [place for place, there in self.of.items() if there.name]
 
-    def in_contact(self) -> list[str]:
+    def in_quorum_contact(self) -> list[str]:
         """Names of linked keepers that say so."""
         return [there.name for there in self.of.values() if there.name and there.contact]
 
@@ -134,7 +134,7 @@
                 del self.of[place]
         under_way = sum(there.calling for there in self.of.values())
         room = CALLS_MOST - under_way
-        if not self.keeps:
+        if not self.has_storage:
             room = min(room, LINKS_MOST - len(self.live) - under_way)
         due = [place for place in self._ranked() if self._due(now, place)][: max(0, room)]
         for place in due:
@@ -145,11 +145,11 @@
         """Names of keepers whose links a sidecar ends: those over its number, and one now and then where a
         better one may be had: an agreed member for another, or, with none in contact, any for one that is
         not. The latter ever more rarely: where no keeper is in contact, no change helps."""
-        if self.keeps:
+        if self.has_storage:
             return []
         ranked = [place for place in self._ranked() if self.of[place].name]
         over = [self.of[place].name for place in ranked[LINKS_MOST:]]
-        found = self.in_contact()
+        found = self.in_quorum_contact()
         if found:
             self.changes = 0
         if over or len(ranked) < LINKS_MOST or now < self.next_change:
@@ -186,7 +186,7 @@
         there = self.of[place]
         if there.name or there.calling or now < there.next_at:
             return False
-        if not self.keeps or self.own < place or place in self.seeds and self.own not in self.seeds:
+        if not self.has_storage or self.own < place or place in self.seeds and self.own not in self.seeds:
             return True
         return now - there.since >= HIGHER_S
 
@@ -197,11 +197,11 @@
     def __init__(self, now: float) -> None:
         self.alone_since: float | None = now
 
-    def wanted(self, now: float, in_contact: int, links: int) -> int:
+    def wanted(self, now: float, in_quorum_contact: int, connections: int) -> int:
         """How many more sidecars to have links to."""
-        if in_contact:
+        if in_quorum_contact:
             self.alone_since = None
             return 0
         if self.alone_since is None:
             self.alone_since = now
-        return max(0, SIDES_MOST - links) if now - self.alone_since > SIDES_AFTER_S else 0
+        return max(0, SIDES_MOST - connections) if now - self.alone_since > SIDES_AFTER_S else 0
--- a/foxspread/mesh/gossip/partial_view.py
+++ b/foxspread/mesh/gossip/partial_view.py
@@ -20,16 +20,16 @@
 class Neighbour:
     node: str
     place: Address  # where it hears its own kind
-    keeps: bool  # it holds the state on a disk
+    has_storage: bool  # it holds the state on a disk
     age: int = 0  # shuffles since it said so itself
 
     def packed(self) -> list:
-        return [self.node, list(self.place), self.keeps, self.age]
+        return [self.node, list(self.place), self.has_storage, self.age]
 
 
 def unpack_neighbour(row: list) -> Neighbour:
-    node, place, keeps, age = row
-    return Neighbour(str(node), (str(place[0]), int(place[1])), bool(keeps), int(age))
+    node, place, has_storage, age = row
+    return Neighbour(str(node), (str(place[0]), int(place[1])), bool(has_storage), int(age))
 
 
 class PartialView:
@@ -76,7 +76,7 @@
 
     def some_sides(self, count: int) -> list[Neighbour]:
         """A few that hold no state, at random: asked for news where no machine with a disk can be reached."""
-        return self._drawn([each for each in self.of.values() if not each.keeps], count)
+        return self._drawn([each for each in self.of.values() if not each.has_storage], count)
 
     def _told(self, kind: str, some: list[Neighbour]) -> dict[str, Any]:
         return {"t": kind, "node": self.me.node, "view": [each.packed() for each in (self.me, *some)]}
--- a/foxspread/mesh/hollow/experiment.py
+++ b/foxspread/mesh/hollow/experiment.py
@@ -116,9 +116,9 @@
             await self.process.wait()
 
 
-def sidecars(shape: Shape, plot: Layout, count: int) -> list[dict[str, dict[str, Any]]]:
+def sidecars(shape: Shape, layout: Layout, count: int) -> list[dict[str, dict[str, Any]]]:
     """Their settings by node, process by process: spread over zones and services, an address each."""
-    told = settings(plot, plot.machines[0], first=False)
+    told = settings(layout, layout.machines[0], first=False)
     rows: dict[str, dict[str, Any]] = {}
     for number in range(count):
         ip = f"{shape.net}.{1 + number // ADDRESSES}.{1 + number % ADDRESSES}"
@@ -226,7 +226,7 @@
 
     def __init__(self, shape: Shape, folder: pathlib.Path, count: int, say: Callable[[str], None]) -> None:
         self.shape, self.count, self.say = shape, count, say
-        self.plot = keepers(shape, folder)
+        self.layout = keepers(shape, folder)
         self.children = [
             Child(
                 each.node,
@@ -234,22 +234,22 @@
                 ["foxspread.mesh", "node"],
                 {FILE_VARIABLE: str(folder / each.node / "node.json")},
             )
-            for each in self.plot.machines
+            for each in self.layout.machines
         ]
         self.workers = [
             Worker(folder / f"hollow-{number}", told)
-            for number, told in enumerate(sidecars(shape, self.plot, count))
+            for number, told in enumerate(sidecars(shape, self.layout, count))
         ]
         self.names = [name for worker in self.workers for name in worker.sidecars]
         self.lanes = Lanes(time.monotonic, 20.0)
-        self.operator = Operator(self.plot.controls, self.lanes)
+        self.operator = Operator(self.layout.controls, self.lanes)
         self.versions = itertools.count(2)
-        self.lives: dict[str, int] = {}  # of those that were restarted: how often each has been started
+        self.instances: dict[str, int] = {}  # of those that were restarted: how often each has been started
         self.figures = Size(count)
 
     async def play(self) -> Size:
         shape = self.shape
-        free(self.plot)
+        free(self.layout)
         try:
             await self._keepers()
             items = shape.services + shape.routes + 1
@@ -282,9 +282,9 @@
         return self.figures
 
     async def _keepers(self) -> None:
-        for machine, child in zip(self.plot.machines, self.children):
+        for machine, child in zip(self.layout.machines, self.children):
             child.folder.mkdir(parents=True, exist_ok=True)
-            told = settings(self.plot, machine, first=True)
+            told = settings(self.layout, machine, first=True)
             zones = {zone(self.shape, n): "orchard" for n in range(self.shape.zones)}
             written(child.folder / "node.json", told | {"zones": zones})
             await child.start()
@@ -423,8 +423,8 @@
             told = await worker.do("end", nodes=[node])
             await asyncio.sleep(0.05)
             await worker.do("start", nodes=[node])
-            self.lives[node] = self.lives.get(node, 1) + 1
-            sent[f"{node}-{self.lives[node]}@{BERTHS}"] = told["at"]
+            self.instances[node] = self.instances.get(node, 1) + 1
+            sent[f"{node}-{self.instances[node]}@{BERTHS}"] = told["at"]
 
         await self._paced(self.shape.restarts, act)
         await asyncio.sleep(self.shape.heartbeat_s)
@@ -441,7 +441,7 @@
         ended = await self._known("the zone", self.shape.services + self.shape.routes + 1, nodes)
         await asyncio.sleep(self.shape.heartbeat_s + 1.5)
         await self._times(
-            name, {f"{each}-{self.lives.get(each, 1) + 1}@{BERTHS}": began for each in nodes}, self.count
+            name, {f"{each}-{self.instances.get(each, 1) + 1}@{BERTHS}": began for each in nodes}, self.count
         )
         self.figures.times[name] |= {"sidecars": float(len(nodes)), "until they know all": ended - began}
 
--- a/foxspread/mesh/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -74,8 +74,8 @@
     async def _look(self, told: dict[str, Any]) -> dict[str, Any]:
         """The least that any of them knows."""
         known = [self.hollows[name].knows() for name in told.get("nodes") or self.hollows]
-        items, records, links = (min(each[n] for each in known) for n in range(3))
-        return {"items": items, "records": records, "links": links, "at": time.monotonic()}
+        items, records, connections = (min(each[n] for each in known) for n in range(3))
+        return {"items": items, "records": records, "links": connections, "at": time.monotonic()}
 
     async def _meter(self, told: dict[str, Any]) -> dict[str, Any]:
         whole = Meter()
--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -80,7 +80,11 @@
     def knows(self) -> tuple[int, int, int]:
         """Items in force, records of sidecars and keepers, links."""
         node = self.node
-        return (0, 0, 0) if node is None else (len(node.copy.items), len(node.records.of), len(node.links))
+        return (
+            (0, 0, 0)
+            if node is None
+            else (len(node.learner.items), len(node.records.of), len(node.connections))
+        )
 
     def _marked(self, node: Node) -> None:
         put, take = node.table.put, node.records.take
--- a/foxspread/mesh/hollow/sizing.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -21,7 +21,7 @@
 
 LIFE = 1_764_000_000_000  # milliseconds of the wall clock, as a record's version begins with
 BALLOT = (1000, f"{LIFE:x}0a1b2c")
-SETTLED = "="
+COMMITTED_SET = "="
 REPEATS = 5  # of what is timed: the least counts
 
 
@@ -45,7 +45,7 @@
     """Records as sidecars tell them, one server each."""
     found, draw = [], random.Random(1)
     for n in range(sidecars):
-        life = LIFE + draw.randrange(30 * 86_400_000)  # they began within a month
+        incarnation = LIFE + draw.randrange(30 * 86_400_000)  # they began within a month
         ip, zone = f"10.{n // 62_500}.{n // 250 % 250}.{n % 250 + 1}", f"zone-{n % zones}"
         server = [
             f"server-{draw.getrandbits(32):08x}",
@@ -56,7 +56,7 @@
             "ready",
             40 + n,
         ]
-        found.append([f"side-{zone}-{n}", [life, 3], zone, "up", f"{ip}:8145", [[*server, 0.0, "r1"]]])
+        found.append([f"side-{zone}-{n}", [incarnation, 3], zone, "up", f"{ip}:8145", [[*server, 0.0, "r1"]]])
     return found
 
 
@@ -133,14 +133,14 @@
     records = made[0]
 
     def configuration() -> tuple[Learner, RouteTable]:
-        copy, table = Learner(), RouteTable()
-        for item in copy.fold(BALLOT, [unpack_row(pack_row(each, BALLOT)) for each in operators]):
+        learner, table = Learner(), RouteTable()
+        for item in learner.fold(BALLOT, [unpack_row(pack_row(each, BALLOT)) for each in operators]):
             table.put(item)
-        return copy, table
+        return learner, table
 
     made, took, memory = filled(configuration)
     out.append(Weighed(f"{len(operators)} items and the table of routes, folded", None, took, memory))
-    copy = made[0]
+    learner = made[0]
 
     def at_sidecar() -> AntiEntropy:
         exchange = AntiEntropy(lambda peer, source: source == "me")
@@ -156,7 +156,7 @@
     out.append(Weighed("versions at a sidecar, of itself and five keepers", None, took, memory))
 
     def at_keeper() -> AntiEntropy:
-        exchange = AntiEntropy(lambda peer, source: source != SETTLED)
+        exchange = AntiEntropy(lambda peer, source: source != COMMITTED_SET)
         for source, version in versions.items():
             exchange.have(source, tuple(version))
         exchange.dirty.clear()  # who is there was told as they came
@@ -194,7 +194,7 @@
     out += message("versions of all records", {"t": "have", "v": versions})
     out += message("asking for all records", {"t": "pull", "at": 1.5, "v": {each: [] for each in versions}})
     out += message("all records", {"t": "news", "at": 1.5, "records": told})
-    changes = [pack_row(*each) for each in copy.since((0, ""))]
+    changes = [pack_row(*each) for each in learner.since((0, ""))]
     out += message("all items", {"t": "news", "at": 1.5, "upto": BALLOT, "age": 0.1, "rows": changes})
     some = told[:: max(1, services // 50)]
     out += message(
--- a/foxspread/mesh/hollow/traffic_meter.py
+++ b/foxspread/mesh/hollow/traffic_meter.py
@@ -144,9 +144,9 @@
         return protocol
 
 
-def _by_kind(link: PeerConnection, meter: Meter, at: list[_Transport]) -> None:
+def _by_kind(connection: PeerConnection, meter: Meter, at: list[_Transport]) -> None:
     """Instead of the link's own methods: those, and the count of what goes through them by kind."""
-    received, send, heard = link.data_received, link.send, link.heard
+    received, send, heard = connection.data_received, connection.send, connection.heard
     kinds: set[str] = set()
     waiting = 0
 
@@ -174,4 +174,4 @@
         meter.messages[f"heard {kind}"] += 1
         heard(heard_by, message)
 
-    link.data_received, link.send, link.heard = data_received, counted_send, counted_heard
+    connection.data_received, connection.send, connection.heard = data_received, counted_send, counted_heard
--- a/foxspread/mesh/local_cluster/layout.py
+++ b/foxspread/mesh/local_cluster/layout.py
@@ -83,17 +83,17 @@
     return Layout(pathlib.Path(folder).absolute(), tuple(machines))
 
 
-def prepare(plot: Layout, faults: dict[str, float]) -> None:
+def prepare(layout: Layout, faults: dict[str, float]) -> None:
     """Writes every settings file. What the disks of an earlier time hold stays, and then it is no first
     start."""
-    first = not any(plot.file(each.node, "data").exists() for each in plot.of(CORE))
-    for number, machine in enumerate(plot.machines):
-        plot.file(machine.node, "").mkdir(parents=True, exist_ok=True)
-        write_settings(plot, machine, first)
+    first = not any(layout.file(each.node, "data").exists() for each in layout.of(CORE))
+    for number, machine in enumerate(layout.machines):
+        layout.file(machine.node, "").mkdir(parents=True, exist_ok=True)
+        write_settings(layout, machine, first)
         if machine.kind == SIDE:
-            written(plot.file(machine.node, "server.json"), server(plot, machine, number, faults))
-    rows = [[each.node, each.kind, each.ip, each.zone, each.service] for each in plot.machines]
-    written(plot.folder / FILE, {"machines": rows})
+            written(layout.file(machine.node, "server.json"), server(layout, machine, number, faults))
+    rows = [[each.node, each.kind, each.ip, each.zone, each.service] for each in layout.machines]
+    written(layout.folder / FILE, {"machines": rows})
 
 
 def read(folder: str) -> Layout:
@@ -105,7 +105,7 @@
     return Layout(path.parent, tuple(Machine(*row) for row in rows))
 
 
-def settings(plot: Layout, machine: Machine, first: bool) -> dict[str, Any]:
+def settings(layout: Layout, machine: Machine, first: bool) -> dict[str, Any]:
     """What the platform would tell that process (DEPLOY's example)."""
     core = machine.kind == CORE
     names = ("control",) if core else ("inbound", "outbound", "ready", "control")
@@ -120,10 +120,10 @@
         "zones": dict.fromkeys(ZONES, "orchard"),
         "counters": {name: f"{machine.ip}:{PORTS[name]}" for name in names},
         "inner_ports": list(INNER),
-        "seeds": [f"{each.ip}:{PORTS['control']}" for each in plot.of(CORE)[:SEEDS]],
+        "seeds": [f"{each.ip}:{PORTS['control']}" for each in layout.of(CORE)[:SEEDS]],
         "first_start": first,
         "limits": {"memory_mb": 300, "file_handles": 4096},
-        "data_dir": str(plot.file(machine.node, "data")) if core else None,
+        "data_dir": str(layout.file(machine.node, "data")) if core else None,
         "heartbeat_s": HEARTBEAT_S,
         "tolerate": {"machines": 1},
         "bounds": [f"{name}={value}" for name, value in BOUNDS.items()],
@@ -133,11 +133,11 @@
     return told
 
 
-def write_settings(plot: Layout, machine: Machine, first: bool) -> None:
-    written(plot.file(machine.node, "node.json"), settings(plot, machine, first))
+def write_settings(layout: Layout, machine: Machine, first: bool) -> None:
+    written(layout.file(machine.node, "node.json"), settings(layout, machine, first))
 
 
-def server(plot: Layout, machine: Machine, number: int, faults: dict[str, float]) -> dict[str, Any]:
+def server(layout: Layout, machine: Machine, number: int, faults: dict[str, float]) -> dict[str, Any]:
     """Of the stand-in server beside that machine's sidecar."""
     return {
         "service": machine.service,
@@ -148,7 +148,7 @@
         "drain_s": BOUNDS["drain_s"],
         "seed": number,
         "faults": faults,
-        "ledger": str(plot.file(machine.node, "server.jsonl")),
+        "ledger": str(layout.file(machine.node, "server.jsonl")),
     }
 
 
--- a/foxspread/mesh/local_cluster/smoke_test.py
+++ b/foxspread/mesh/local_cluster/smoke_test.py
@@ -78,16 +78,16 @@
 
 
 class SmokeTest:
-    def __init__(self, plot: Layout, say: Callable[[str], None], pace: float = PACE) -> None:
-        self.plot, self.say, self.pace = plot, say, pace
+    def __init__(self, layout: Layout, say: Callable[[str], None], pace: float = PACE) -> None:
+        self.layout, self.say, self.pace = layout, say, pace
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.lanes = Lanes(self.clock, 20.0)
-        self.ledger = EventRecord(str(plot.folder / "clients.jsonl"))
-        self.operator = Operator(plot.controls, self.lanes, self.ledger)
+        self.ledger = EventRecord(str(layout.folder / "clients.jsonl"))
+        self.operator = Operator(layout.controls, self.lanes, self.ledger)
         self.clients = [
             Client(each.node, each.place("outbound"), each.place("ready"), self.lanes, self.ledger)
-            for each in plot.of(SIDE)
+            for each in layout.of(SIDE)
         ]
         self.figures = Figures()
         self.edition = 0
@@ -95,7 +95,7 @@
 
     async def run(self, requests: int = 2000) -> Figures:
         """Raises PlotError where a step does not come about in time."""
-        sides = self.plot.of(SIDE)
+        sides = self.layout.of(SIDE)
         if len({each.service for each in sides}) < 2:
             raise LayoutError("wants two sidecars at least: one for each service")
         self.begun_at = self.clock()
@@ -106,7 +106,7 @@
             async with self._load(requests):
                 await self._until("half of the requests", lambda: self._ended() >= requests // 2)
                 await self._change()
-                if len(self.plot.of(CORE)) >= 3:
+                if len(self.layout.of(CORE)) >= 3:
                     await self._kill_core()
                 await self._kill_side()
                 await self._until("the requests", lambda: self._ended() >= requests)
@@ -165,14 +165,14 @@
 
     async def _kill_core(self) -> None:
         """Those that are left go on acknowledging changes meanwhile."""
-        node = self.plot.of(CORE)[0].node
+        node = self.layout.of(CORE)[0].node
         died = await self._kill(node)
         self.edition += 1
         began = self.clock()
         call = {"lodge": {"gates": [self._gate("r-taste", CELLAR, attempts=3)]}}
         await self._done("a change without one core", self.operator.patch(call))
         self.say(f"{node} is killed; a change without it is acknowledged after {self._ms(began)}")
-        place = self.plot.machine(node).place("control")
+        place = self.layout.machine(node).place("control")
 
         async def back() -> bool:
             outcome = await self.operator.get_at(place)
@@ -181,7 +181,7 @@
         await self._back(node, died, back)
 
     async def _kill_side(self) -> None:
-        node = self.plot.of(SIDE)[0].node
+        node = self.layout.of(SIDE)[0].node
         client = next(each for each in self.clients if each.name == node)
         died = await self._kill(node)
         self.say(f"{node} is killed")
@@ -199,18 +199,18 @@
         self.say(f"{node} serves again after {took:.2f} s")
 
     async def _kill(self, node: str) -> float:
-        pid = pid_of(self.plot, node)
+        pid = pid_of(self.layout, node)
         if pid is None:
             raise LayoutError(f"{node} does not run")
         os.kill(pid, signal.SIGKILL)
         died = self.clock()
-        await self._until(f"{node} to be started again", lambda: pid_of(self.plot, node) not in (None, pid))
+        await self._until(f"{node} to be started again", lambda: pid_of(self.layout, node) not in (None, pid))
         return died
 
     async def _read_back(self) -> None:
         """From each core by itself."""
         held = []
-        for place in self.plot.controls:
+        for place in self.layout.controls:
             found: Outcome | None = None
 
             async def answers(place: Any = place) -> bool:
@@ -283,14 +283,14 @@
         if took:
             figures.p50, figures.p99 = took[len(took) // 2], took[min(len(took) - 1, int(0.99 * len(took)))]
         figures.mixed = sum(bool(each.mixed) for each in ended)
-        services = {each.node: each.service for each in self.plot.of(SIDE)}
+        services = {each.node: each.service for each in self.layout.of(SIDE)}
         runs, callers = Counter(), {}
-        for ledger in self.plot.ledgers():
+        for ledger in self.layout.ledgers():
             for row in rows(ledger):
                 if row["what"] == "run":
                     runs[row["id"]] += 1
                     callers.setdefault(row["id"], set()).add(row["caller"])
-        for row in rows(self.plot.folder / "clients.jsonl"):
+        for row in rows(self.layout.folder / "clients.jsonl"):
             if row["what"] != "try" or row["at"] < self.begun_at:
                 continue
             ran = runs[row["id"]]
@@ -374,7 +374,7 @@
             if seen:
                 return
             if self.clock() >= until:
-                raise LayoutError(f"waited in vain for {what}: see the logs under {self.plot.folder}")
+                raise LayoutError(f"waited in vain for {what}: see the logs under {self.layout.folder}")
             await asyncio.sleep(LOOK_S)
 
     def _ms(self, since: float) -> str:
--- a/foxspread/mesh/local_cluster/supervisor.py
+++ b/foxspread/mesh/local_cluster/supervisor.py
@@ -80,12 +80,12 @@
 
 
 class Supervisor:
-    def __init__(self, plot: Layout, say: Say, faults: dict[str, float] | None = None) -> None:
+    def __init__(self, layout: Layout, say: Say, faults: dict[str, float] | None = None) -> None:
         """`faults`: of the servers."""
-        self.plot, self.say, self.faults = plot, say, faults or {}
+        self.layout, self.say, self.faults = layout, say, faults or {}
         self.nodes, self.servers = [], []
-        for machine in plot.machines:
-            folder = plot.file(machine.node, "")
+        for machine in layout.machines:
+            folder = layout.file(machine.node, "")
             variables = {FILE_VARIABLE: str(folder / "node.json")}
             self.nodes.append(Child(machine.node, folder, ["foxspread.mesh", "node"], variables))
             if machine.kind == SIDE:
@@ -99,8 +99,8 @@
 
     async def run(self, stop: asyncio.Event, up: Callable[[], None] = lambda: None) -> None:
         """Until `stop`, or until something can't be kept up, which is raised; nothing runs on after it."""
-        free(self.plot)
-        prepare(self.plot, self.faults)
+        free(self.layout)
+        prepare(self.layout, self.faults)
         stopped = asyncio.get_running_loop().create_task(stop.wait())
         try:
             for child in (*self.nodes, *self.servers):
@@ -110,8 +110,8 @@
             await asyncio.wait([ready, stopped, self.lost], return_when=asyncio.FIRST_COMPLETED)
             if ready.done():
                 ready.result()
-                for machine in self.plot.machines:
-                    write_settings(self.plot, machine, first=False)
+                for machine in self.layout.machines:
+                    write_settings(self.layout, machine, first=False)
                 up()
                 await asyncio.wait([stopped, self.lost], return_when=asyncio.FIRST_COMPLETED)
             ready.cancel()
@@ -126,14 +126,14 @@
         Sidecars say that they are ready only once there is a configuration."""
         lanes, until = Lanes(time.monotonic, 5.0), time.monotonic() + READY_WITHIN_S
         waits: list[tuple[str, Address, str, tuple[int, ...]]] = []
-        for machine in self.plot.machines:
+        for machine in self.layout.machines:
             if machine.kind == CORE:
                 waits.append((machine.node, machine.place("control"), "/api/Config.Get", (200,)))
             else:
                 waits.append((machine.node, machine.place("ready"), "/api/ready", (200, 503)))
         known = [
-            (f"the server of {each.node}", self.plot.file(each.node, "server.jsonl"))
-            for each in self.plot.of(SIDE)
+            (f"the server of {each.node}", self.layout.file(each.node, "server.jsonl"))
+            for each in self.layout.of(SIDE)
         ]
         began = time.monotonic() - LOOK_S
         try:
@@ -186,9 +186,9 @@
             child.signal(kill=True)
 
 
-def free(plot: Layout) -> None:
+def free(layout: Layout) -> None:
     """Whether its addresses can be had; raised with the one that can't."""
-    for machine in plot.machines:
+    for machine in layout.machines:
         ports = [PORTS["control"], INNER[0]]
         ports += [*PORTS.values(), APP] if machine.kind == SIDE else []
         for port in ports:
@@ -203,10 +203,10 @@
                     ) from None
 
 
-def pid_of(plot: Layout, node: str) -> int | None:
+def pid_of(layout: Layout, node: str) -> int | None:
     """Of the node's process, while it runs."""
     try:
-        return int(plot.file(node, f"{node}.pid").read_text())
+        return int(layout.file(node, f"{node}.pid").read_text())
     except (FileNotFoundError, ValueError):
         return None
 
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -57,7 +57,7 @@
 QUIET_S = 2.3  # after SIGTERM, by when the platform has missed twice and sends nobody here any more
 BACK_S = 1.5  # after its start, by when the platform sends callers to a sidecar again
 LAST_S = 1.7  # of the time that the platform gives, in which what is under way is answered in any case
-SETTLED = "="  # the source of the settled set, among those of records
+COMMITTED_SET = "="  # the source of the settled set, among those of records
 
 
 def steady() -> float:
@@ -70,50 +70,53 @@
     def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop) -> None:
         self.settings, self.loop = settings, loop
         self.clock = steady
-        self.life = os.urandom(10).hex()  # by chance alone: no clock makes two lives alike
+        self.incarnation = os.urandom(10).hex()  # by chance alone: no clock makes two lives alike
         self.chance = Chance(int.from_bytes(os.urandom(4), "big"))
-        self.journal = EventLog(self.clock)
+        self.event_log = EventLog(self.clock)
         self.member = (
             format_address(settings.counters["control"])
-            if settings.keeps and "control" in settings.counters
+            if settings.has_storage and "control" in settings.counters
             else ""
         )
         # State: what is settled, who says what of itself.
         self.table, self.records, self.upstreams = RouteTable(), EndpointRecords(), None
         self.upstreams = Upstreams(self.records)
-        self.journal.view("settled", self._fold_items)
-        self.journal.view("record", self._fold_record)
-        self.copy = Learner()
-        self.keeper: ReplicaServer | None = None
-        self.replacement: Reconfiguration | None = None
-        self.contact = QuorumContact(self.member, int.from_bytes(os.urandom(4), "big"))
+        self.event_log.view("settled", self._fold_items)
+        self.event_log.view("record", self._fold_record)
+        self.learner = Learner()
+        self.replica_server: ReplicaServer | None = None
+        self.reconfiguration: Reconfiguration | None = None
+        self.quorum_contact = QuorumContact(self.member, int.from_bytes(os.urandom(4), "big"))
         self.starts = StartHistory()
-        self.in_contact = False  # as others were last told
+        self.in_quorum_contact = False  # as others were last told
         self.readiness, self.still = Readiness(), PauseDetector(self.clock(), TICK_S)
-        self.exchange = AntiEntropy(self._tells)
-        self.catchup = SnapshotTransfer(self.copy, self.chance.draw)
-        self.number, self.record_life = 0, int(time.time() * 1e6)  # of the record; raised where it is known
+        self.anti_entropy = AntiEntropy(self._tells)
+        self.snapshot_transfer = SnapshotTransfer(self.learner, self.chance.draw)
+        self.number, self.record_incarnation = (
+            0,
+            int(time.time() * 1e6),
+        )  # of the record; raised where it is known
         self.state, self.knows_records = UP, False
         # Links.
-        self.links: dict[str, PeerConnection] = {}
+        self.connections: dict[str, PeerConnection] = {}
         self.unnamed: set[PeerConnection] = set()
-        self.keepers: dict[str, str] = {}  # linked: control address -> node
+        self.replicas: dict[str, str] = {}  # linked: control address -> node
         draw = random.Random(os.urandom(16)).random
-        self.dialling = ConnectionManager(
-            self.clock(), settings.inner, settings.keeps, settings.seed_addresses(), draw
+        self.connection_manager = ConnectionManager(
+            self.clock(), settings.inner, settings.has_storage, settings.seed_addresses(), draw
         )
         self.leaning, self.sides_called = NeighbourFallback(self.clock()), {}
         self.flushing = False
-        me = Neighbour(settings.node, settings.inner, settings.keeps)
+        me = Neighbour(settings.node, settings.inner, settings.has_storage)
         self.view, self.datagrams = PartialView(me, self.chance.draw), DatagramEndpoint(self._shuffled)
         # The path.
-        self.lives = InstanceTable(settings.heartbeat_s, settings.zone)
+        self.instances = InstanceTable(settings.heartbeat_s, settings.zone)
         self.steering = Steering(settings.zone, self.upstreams, settings.bounds, self.chance, self._sidecars)
         bodies = share(settings.memory_mb)
         self.app_lanes = Lanes(self.clock, 6.0, share=bodies)
         self.lanes = Lanes(self.clock, 60.0, share=bodies, numbered=True)
         self.hop = Hop(
-            self.clock, LastHop(self.lives, settings.app, settings.bounds["drain_s"]), self.app_lanes
+            self.clock, LastHop(self.instances, settings.app, settings.bounds["drain_s"]), self.app_lanes
         )
         self.caller_desk = CallerDesk(
             self.clock,
@@ -140,7 +143,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reread)
         control = ControlApi(
             self.clock,
-            {"Instances": InstancesResource(self.clock, self.lives, self._own_record, self._spread)},
+            {"Instances": InstancesResource(self.clock, self.instances, self._own_record, self._spread)},
         )
         self.desks = {
             "control": control,
@@ -148,47 +151,47 @@
             "inbound": HopDesk(self.clock, self.hop),
             "outbound": self.caller_desk,
         }
-        if settings.keeps:
+        if settings.has_storage:
             disk = Storage(settings.data_dir, loop.call_soon_threadsafe)
-            self.keeper = ReplicaServer(
-                self.clock, self.life, self.chance.draw, disk, self._send_member, self._settled
+            self.replica_server = ReplicaServer(
+                self.clock, self.incarnation, self.chance.draw, disk, self._send_member, self._on_committed
             )
-            self.keeper.others = lambda: self.keepers
-            self.replacement = Reconfiguration(self.member, self.life, self.chance.draw)
-            self.keeper.patience = lambda: PATIENCE_S if self._current() else CUT_OFF_S
+            self.replica_server.others = lambda: self.replicas
+            self.reconfiguration = Reconfiguration(self.member, self.incarnation, self.chance.draw)
+            self.replica_server.patience = lambda: PATIENCE_S if self._current() else CUT_OFF_S
         control.resources["Config"] = ConfigurationResource(
-            self.keeper, self._a_core, lambda: self.still.stale(self.clock())
+            self.replica_server, self._a_core, lambda: self.still.stale(self.clock())
         )
         for name, place in settings.counters.items():
             if (desk := self.desks.get(name)) is not None:
                 self.servers.append(
                     await loop.create_server(lambda desk=desk: Serving(desk), *place, backlog=1024)
                 )
-        self.servers.append(await loop.create_server(self._link, *settings.inner, backlog=256))
+        self.servers.append(await loop.create_server(self._new_connection, *settings.inner, backlog=256))
         await loop.create_datagram_endpoint(lambda: self.datagrams, local_addr=settings.inner)
         self._own_record()
         log_event(
             "start",
-            life=self.life,
-            keeps=settings.keeps,
+            life=self.incarnation,
+            keeps=settings.has_storage,
             serves=",".join(settings.serves),
             first=settings.first_start,
             seeds=",".join(settings.seeds),
         )
-        if self.keeper is not None:
+        if self.replica_server is not None:
             saved = await loop.run_in_executor(
-                None, self.keeper.disk.open, tuple(sorted(settings.seeds)), settings.first_start
+                None, self.replica_server.disk.open, tuple(sorted(settings.seeds)), settings.first_start
             )
-            self.keeper.disk.start()
-            self.copy = self.catchup.copy = (acceptor := Acceptor(self.member, saved)).copy
-            self.keeper.begin(acceptor)
-            self._agreed(self.keeper.members.of)
+            self.replica_server.disk.start()
+            self.learner = self.snapshot_transfer.learner = (acceptor := Acceptor(self.member, saved)).learner
+            self.replica_server.begin(acceptor)
+            self._agreed(self.replica_server.members.of)
             log_event(
                 "disk",
                 disk=acceptor.disk,
                 voting=acceptor.voting,
-                upto=acceptor.copy.upto[0],
-                items=len(acceptor.copy.items),
+                upto=acceptor.learner.committed_number[0],
+                items=len(acceptor.learner.items),
             )
         self._dial(self.clock())
         ticking = loop.create_task(self._tick())
@@ -222,8 +225,8 @@
                 self.clock(), self.settings.node, self.settings.zone, BACK_S
             ):
                 await asyncio.sleep(TICK_S)
-        if self.keeper is not None and self.keeper.acceptor is not None:
-            while not self.replacement.may_go(self.clock(), self._members_view()):
+        if self.replica_server is not None and self.replica_server.acceptor is not None:
+            while not self.reconfiguration.may_go(self.clock(), self._members_view()):
                 await asyncio.sleep(TICK_S)
         for desk in self.desks.values():
             desk.retire()
@@ -247,7 +250,7 @@
         new = reloaded(self.settings, new)
         if new != self.settings:
             self.settings = new
-            self.dialling.seeded(self.clock(), new.seed_addresses())
+            self.connection_manager.seeded(self.clock(), new.seed_addresses())
             self.caller_desk.caller = new.service.encode()
             log_event("settings", seeds=",".join(new.seeds), service=new.service)
 
@@ -258,20 +261,20 @@
             now = self.clock()
             if slept := self.still.beat(now):
                 log_event("slept", seconds=slept)
-                self.lives.slept(slept)
-            for link in [*self.links.values(), *self.unnamed]:
-                link.beat(slept)
-            if self.keeper is not None:
-                self.keeper.tick()
+                self.instances.slept(slept)
+            for connection in [*self.connections.values(), *self.unnamed]:
+                connection.beat(slept)
+            if self.replica_server is not None:
+                self.replica_server.tick()
                 self._ask_contact(now)
                 self._tend_members()
             self._dial(now)
-            if self.keeper is None:
+            if self.replica_server is None:
                 self._lean_on_neighbours(now)
                 self._ask_basis(now)
             if (step := self.view.shuffle(now)) is not None:
                 self.datagrams.send(*step)
-            if self.lives.sweep(now):
+            if self.instances.sweep(now):
                 self._own_record()
             self._flush()
             count += 1
@@ -289,70 +292,79 @@
     # What it knows.
 
     def _knows(self) -> bool:
-        return bool(self.copy.items)
+        return bool(self.learner.items)
 
     def _ready(self) -> bool:
         if self.ending or not self._knows():
             return False
-        if self.keeper is not None:
-            return self.keeper.fresh and self._current()
+        if self.replica_server is not None:
+            return self.replica_server.fresh and self._current()
         return self.readiness.ready(self.knows_records)
 
     def _current(self) -> bool:
         """Whether this keeper, now, may miss no more than a moment of what was acknowledged."""
-        if self.keeper is None or self.keeper.acceptor is None or not self.keeper.acceptor.known:
+        if (
+            self.replica_server is None
+            or self.replica_server.acceptor is None
+            or not self.replica_server.acceptor.known
+        ):
             return False  # an empty disk: who the members are is known from seeds only
-        self.contact.held(self.keeper.members, self.copy.upto)
-        return self.contact.current(self.clock())
+        self.quorum_contact.held(self.replica_server.members, self.learner.committed_number)
+        return self.quorum_contact.current(self.clock())
 
     def _age(self) -> float | None:
-        if self.keeper is None:
+        if self.replica_server is None:
             return self.readiness.age(self.clock())
-        return self.contact.age(self.clock()) if self._current() else None
+        return self.quorum_contact.age(self.clock()) if self._current() else None
 
     def _report(self) -> Report:
-        return self.keeper.own_report(
-            self.settings.zone, self.state == LEAVING, self.contact.hears(self.clock())
+        return self.replica_server.own_report(
+            self.settings.zone, self.state == LEAVING, self.quorum_contact.hears(self.clock())
         )
 
     def _ask_contact(self, now: float) -> None:
-        if self.keeper.acceptor is None:
+        if self.replica_server.acceptor is None:
             return
-        if (asking := self.contact.ask(now, self._report())) is not None:
-            acceptor = self.keeper.acceptor
-            told = {"boots": acceptor.boots, "promised": self.keeper.durable}
-            asking |= {"life": self.life, "disk": acceptor.disk, **told}
-            for name in self.keepers.values():
-                self.links[name].send(asking)
+        if (asking := self.quorum_contact.ask(now, self._report())) is not None:
+            acceptor = self.replica_server.acceptor
+            told = {"boots": acceptor.start_count, "promised": self.replica_server.durable}
+            asking |= {"life": self.incarnation, "disk": acceptor.disk, **told}
+            for name in self.replicas.values():
+                self.connections[name].send(asking)
         self._stand()
 
     def _tend_members(self) -> None:
-        if self.keeper.acceptor is not None:
-            self.replacement.tend(self.clock, self._members_view(), self.keeper.ask)
+        if self.replica_server.acceptor is not None:
+            self.reconfiguration.tend(self.clock, self._members_view(), self.replica_server.ask)
 
     def _members_view(self) -> MembersView:
         self._current()  # what is settled here by now counts
         return MembersView.of(
             self.clock(),
             self._report(),
-            self.keeper.members,
-            self.copy,
-            self.contact.reports,
-            self.contact.age(self.clock()),
+            self.replica_server.members,
+            self.learner,
+            self.quorum_contact.reports,
+            self.quorum_contact.age(self.clock()),
             self.settings.tolerate,
             self.settings.tolerate_zones,
         )
 
     def _stand(self) -> None:
         """Others are told when this keeper's contact ends and when it is back; then news goes out again."""
-        if (current := self._current()) == self.in_contact:
+        if (current := self._current()) == self.in_quorum_contact:
             return
-        self.in_contact = current
-        log_event("contact", majority=current, epoch=self.keeper.members.epoch, upto=self.copy.upto[0])
-        for link in self.links.values():
-            link.send({"t": "standing", "contact": current})
+        self.in_quorum_contact = current
+        log_event(
+            "contact",
+            majority=current,
+            epoch=self.replica_server.members.epoch,
+            upto=self.learner.committed_number[0],
+        )
+        for connection in self.connections.values():
+            connection.send({"t": "standing", "contact": current})
         if current:
-            self.exchange.dirty.add(SETTLED)
+            self.anti_entropy.dirty.add(COMMITTED_SET)
             self._soon()
 
     def _sidecars(self) -> int:
@@ -361,23 +373,23 @@
     def _tells(self, peer: str, source: str) -> bool:
         """Keepers hear of each sidecar from itself; neighbours without a disk hear of all. Sidecars hear of
         the settled set from keepers in contact only; keepers always, for what is settled stays so."""
-        if self.keeper is None:
-            return source == self.settings.node or not self._keeps(peer)
-        return source != SETTLED or self._keeps(peer) or self._current()
+        if self.replica_server is None:
+            return source == self.settings.node or not self._is_replica(peer)
+        return source != COMMITTED_SET or self._is_replica(peer) or self._current()
 
     def _learns_from(self, peer: str) -> bool:
         """Those without a disk hold no more than a part of each item."""
-        return self.keeper is None or self._keeps(peer)
+        return self.replica_server is None or self._is_replica(peer)
 
-    def _keeps(self, peer: str) -> bool:
-        return peer in self.keepers.values()
+    def _is_replica(self, peer: str) -> bool:
+        return peer in self.replicas.values()
 
-    def _settled(self, new: list[Item]) -> None:
+    def _on_committed(self, new: list[Item]) -> None:
         """Items in force that are new here, on a machine with a disk."""
         if new:
-            self.journal.append("settled", new)
-        self.exchange.have(SETTLED, self.copy.upto)
-        self.exchange.dirty.add(SETTLED)
+            self.event_log.append("settled", new)
+        self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
+        self.anti_entropy.dirty.add(COMMITTED_SET)
         self._soon()
 
     def _fold_items(self, event: Event) -> None:
@@ -392,7 +404,7 @@
 
     def _agreed(self, members: list[str] | tuple[str, ...]) -> None:
         port = self.settings.inner_ports[0]
-        self.dialling.agreed(self.clock(), [(parse_address(each)[0], port) for each in members])
+        self.connection_manager.agreed(self.clock(), [(parse_address(each)[0], port) for each in members])
 
     def _limit(self, told: dict[str, Any]) -> None:
         limits = self.caller_desk.limits
@@ -413,90 +425,97 @@
         mine = unpack_record(
             [
                 self.settings.node,
-                [self.record_life, self.number],
+                [self.record_incarnation, self.number],
                 self.settings.zone,
                 self.state,
                 format_address(place) if place else "",
-                self.lives.rows(self.clock()),
+                self.instances.rows(self.clock()),
             ]
         )
         self._take_record(mine)
 
     def _take_record(self, new: EndpointRecord) -> None:
         if self.records.take(self.clock(), new):
-            self.exchange.have(new.node, new.version)
-            self.journal.append("record", new.node)
+            self.anti_entropy.have(new.node, new.version)
+            self.event_log.append("record", new.node)
             self._soon()
 
     async def _spread(self) -> bool:
         """Whether a drain that this sidecar's own record tells of is to be acknowledged."""
-        version = self.record_life, self.number
+        version = self.record_incarnation, self.number
         wait = DrainPropagation(self.clock(), "inbound" in self.settings.counters)
         while True:
-            linked = self.dialling.in_contact()
-            known = self.exchange.known_by(self.settings.node, version, linked)
-            keepers = len(self.dialling.members or self.dialling.seeds)
-            if (outcome := wait.outcome(self.clock(), known, linked, keepers)) is not None:
+            linked = self.connection_manager.in_quorum_contact()
+            known = self.anti_entropy.known_by(self.settings.node, version, linked)
+            replicas = len(self.connection_manager.members or self.connection_manager.seeds)
+            if (outcome := wait.outcome(self.clock(), known, linked, replicas)) is not None:
                 return outcome
             await asyncio.sleep(0.01)
 
     # Links.
 
-    def _link(self, dialled: Address | None = None) -> PeerConnection:
-        link = PeerConnection(self.clock, self._opened, self._heard, self._ended)
-        link.dialled = dialled
-        return link
+    def _new_connection(self, dialled: Address | None = None) -> PeerConnection:
+        connection = PeerConnection(self.clock, self._opened, self._heard, self._ended)
+        connection.dialled = dialled
+        return connection
 
-    def _opened(self, link: PeerConnection) -> None:
-        self.unnamed.add(link)
+    def _opened(self, connection: PeerConnection) -> None:
+        self.unnamed.add(connection)
         hello = {
             "t": "hello",
             "node": self.settings.node,
             "member": self.member,
             "inner": list(self.settings.inner),
-            "cores": [list(each) for each in self.dialling.live],
+            "cores": [list(each) for each in self.connection_manager.live],
             "contact": self._current(),
         }
-        link.send(hello)
-
-    def _ended(self, link: PeerConnection) -> None:
-        self.unnamed.discard(link)
-        if link.peer is None:
-            if link.dialled is not None:
-                self.dialling.vain(self.clock(), link.dialled, False)
-        elif self.links.get(link.peer) is link:
-            del self.links[link.peer]
-            self.exchange.left(link.peer)
-            self.catchup.left(link.peer)
-            self.dialling.down(self.clock(), link.peer)
-            self.keepers = {member: name for member, name in self.keepers.items() if name != link.peer}
-            log_event("link_ended", peer=link.peer, why=link.why)
+        connection.send(hello)
+
+    def _ended(self, connection: PeerConnection) -> None:
+        self.unnamed.discard(connection)
+        if connection.peer is None:
+            if connection.dialled is not None:
+                self.connection_manager.vain(self.clock(), connection.dialled, False)
+        elif self.connections.get(connection.peer) is connection:
+            del self.connections[connection.peer]
+            self.anti_entropy.left(connection.peer)
+            self.snapshot_transfer.left(connection.peer)
+            self.connection_manager.down(self.clock(), connection.peer)
+            self.replicas = {
+                member: name for member, name in self.replicas.items() if name != connection.peer
+            }
+            log_event("link_ended", peer=connection.peer, why=connection.why)
 
     def _dial(self, now: float) -> None:
-        for place in self.dialling.calls(now):
+        for place in self.connection_manager.calls(now):
             self.loop.create_task(self._call(place))
-        for name in self.dialling.surplus(now):
-            self.links[name].close("others are better")
+        for name in self.connection_manager.surplus(now):
+            self.connections[name].close("others are better")
 
     def _lean_on_neighbours(self, now: float) -> None:
-        sides = [link for name, link in self.links.items() if not self._keeps(name)]
-        in_contact = len(self.dialling.in_contact())
-        if in_contact:
+        sides = [connection for name, connection in self.connections.items() if not self._is_replica(name)]
+        in_quorum_contact = len(self.connection_manager.in_quorum_contact())
+        if in_quorum_contact:
             self.sides_called.clear()
-            for link in sides:
-                if link.dialled is not None:
-                    link.close("a keeper in contact is reached")
-        for each in self.view.some_sides(self.leaning.wanted(now, in_contact, len(sides))):
-            if each.node not in self.links and now >= self.sides_called.get(each.place, 0.0):
+            for connection in sides:
+                if connection.dialled is not None:
+                    connection.close("a keeper in contact is reached")
+        for each in self.view.some_sides(self.leaning.wanted(now, in_quorum_contact, len(sides))):
+            if each.node not in self.connections and now >= self.sides_called.get(each.place, 0.0):
                 self.sides_called[each.place] = now + CALL_S * (1 + 0.5 * self.chance.draw())
                 self.loop.create_task(self._call(each.place))
 
     def _ask_basis(self, now: float) -> None:
         """Until it is ready, and while a neighbour leans on it, a sidecar asks for what is current now."""
-        leant_on = any(link.dialled is None and not self._keeps(name) for name, link in self.links.items())
-        if self.links and self.readiness.asks(now, leant_on):
-            several = self.dialling.in_contact() or list(self.links)
-            self.links[random.choice(several)].send(self._pull(now, {SETTLED: self.copy.upto}))
+        leant_on = any(
+            connection.dialled is None and not self._is_replica(name)
+            for name, connection in self.connections.items()
+        )
+        if self.connections and self.readiness.asks(now, leant_on):
+            several = self.connection_manager.in_quorum_contact() or list(self.connections)
+            self.connections[random.choice(several)].send(
+                self._pull(now, {COMMITTED_SET: self.learner.committed_number})
+            )
 
     @staticmethod
     def _pull(now: float, wanted: dict[str, Any]) -> dict[str, Any]:
@@ -508,107 +527,113 @@
         if answer is not None:
             self.datagrams.send(unpack_neighbour(message["view"][0]).place, answer)
         for each in self.view.of.values():
-            if each.keeps:
-                self.dialling.told(self.clock(), each.place)
+            if each.has_storage:
+                self.connection_manager.told(self.clock(), each.place)
 
     async def _call(self, place: Address) -> None:
         refused = False
-        links: list[PeerConnection] = []
+        connections: list[PeerConnection] = []
 
         def called() -> PeerConnection:
-            links.append(self._link(place))
-            return links[-1]
+            connections.append(self._new_connection(place))
+            return connections[-1]
 
         try:
             async with asyncio.timeout(CALL_S):
                 return await self.loop.create_connection(called, *place)
         except TimeoutError:
-            for link in links:  # that came up at that moment: uvloop closes it, and tells nobody
-                if link.transport is not None:
-                    return link.close("too late")
+            for connection in connections:  # that came up at that moment: uvloop closes it, and tells nobody
+                if connection.transport is not None:
+                    return connection.close("too late")
         except OSError:
             refused = True
-        self.dialling.vain(self.clock(), place, refused)
+        self.connection_manager.vain(self.clock(), place, refused)
 
-    def _heard(self, link: PeerConnection, message: dict[str, Any]) -> None:
+    def _heard(self, connection: PeerConnection, message: dict[str, Any]) -> None:
         kind = message.get("t")
         if kind == "hello":
-            return self._met(link, message)
-        if link.peer is None:
-            return link.close("no hello")
+            return self._met(connection, message)
+        if connection.peer is None:
+            return connection.close("no hello")
         if kind == "have":
             versions = {source: tuple(v) for source, v in message["v"].items()}
-            if (upto := versions.pop(SETTLED, None)) is not None and self._learns_from(link.peer):
-                self.catchup.told(link.peer, unpack_proposal_number(upto))
-            self.exchange.told(link.peer, versions)
+            if (committed_number := versions.pop(COMMITTED_SET, None)) is not None and self._learns_from(
+                connection.peer
+            ):
+                self.snapshot_transfer.told(connection.peer, unpack_proposal_number(committed_number))
+            self.anti_entropy.told(connection.peer, versions)
             self._noticed(message["v"])
             self._soon()
         elif kind == "pull":
-            link.send(self._news(link.peer, message))
+            connection.send(self._news(connection.peer, message))
         elif kind == "news":
-            self._take_news(link.peer, message)
+            self._take_news(connection.peer, message)
         elif kind == "piece":
-            if self._may_tell(link.peer):
-                link.send(SnapshotTransfer.answer(self.copy, message, self._age(), self._keeps(link.peer)))
+            if self._may_tell(connection.peer):
+                connection.send(
+                    SnapshotTransfer.answer(
+                        self.learner, message, self._age(), self._is_replica(connection.peer)
+                    )
+                )
         elif kind == "rows":
-            self._take_rows(link.peer, message)
+            self._take_rows(connection.peer, message)
         elif kind == "standing":
-            self.dialling.contact(link.peer, bool(message["contact"]))
-        elif self.keeper is not None and self._keeps(link.peer):
-            sender = next(member for member, node in self.keepers.items() if node == link.peer)
+            self.connection_manager.contact(connection.peer, bool(message["contact"]))
+        elif self.replica_server is not None and self._is_replica(connection.peer):
+            sender = next(member for member, node in self.replicas.items() if node == connection.peer)
             if kind == "contact":
-                if self.keeper.acceptor is not None:
+                if self.replica_server.acceptor is not None:
                     disk, promised = (
                         unpack_proposal_number(message["disk"]),
                         unpack_proposal_number(message["promised"]),
                     )
                     past = self.starts.told(sender, message["life"], disk, message["boots"], promised)
                     answer = QuorumContact.answer(message, self._report())
-                    link.send({**answer, "older": message["life"]} if past else answer)
+                    connection.send({**answer, "older": message["life"]} if past else answer)
             elif kind == "contacted":
-                if message.get("older") == self.life:
-                    self.keeper.found_older(os.urandom(8).hex())
-                self.contact.heard(self.clock(), sender, message)
+                if message.get("older") == self.incarnation:
+                    self.replica_server.found_older(os.urandom(8).hex())
+                self.quorum_contact.heard(self.clock(), sender, message)
                 self._stand()
             else:
-                self.keeper.heard(sender, message)
+                self.replica_server.heard(sender, message)
 
-    def _met(self, link: PeerConnection, hello: dict[str, Any]) -> None:
-        self.unnamed.discard(link)
-        link.peer = name = hello["node"]
-        if (old := self.links.get(name)) is not None and old is not link:
+    def _met(self, connection: PeerConnection, hello: dict[str, Any]) -> None:
+        self.unnamed.discard(connection)
+        connection.peer = name = hello["node"]
+        if (old := self.connections.get(name)) is not None and old is not connection:
             old.close("a newer link")
-        self.links[name] = link
+        self.connections[name] = connection
         self.view.met(Neighbour(name, tuple(hello["inner"]), bool(hello["member"])))
         now = self.clock()
         if hello["member"]:
-            self.keepers[hello["member"]] = name
-            self.dialling.up(now, tuple(hello["inner"]), name, bool(hello["contact"]))
-        elif link.dialled is not None:
-            self.dialling.vain(now, link.dialled, False)  # no keeper is there any more
+            self.replicas[hello["member"]] = name
+            self.connection_manager.up(now, tuple(hello["inner"]), name, bool(hello["contact"]))
+        elif connection.dialled is not None:
+            self.connection_manager.vain(now, connection.dialled, False)  # no keeper is there any more
         for each in hello["cores"]:
-            self.dialling.told(now, tuple(each))
-        self.exchange.met(name)
-        link.send({"t": "have", "v": self.exchange.whole(name)})
+            self.connection_manager.told(now, tuple(each))
+        self.anti_entropy.met(name)
+        connection.send({"t": "have", "v": self.anti_entropy.whole(name)})
         log_event("link", peer=name)
-        if hello["member"] and self.keeper is not None:
-            self.contact.next_at = now  # it is asked at the next tick
-            self.keeper.reached(hello["member"])
+        if hello["member"] and self.replica_server is not None:
+            self.quorum_contact.next_at = now  # it is asked at the next tick
+            self.replica_server.reached(hello["member"])
 
     def _noticed(self, versions: dict[str, list]) -> None:
         told = versions.get(self.settings.node)
-        if told is not None and tuple(told) > (self.record_life, self.number):
-            self.record_life = told[0] + 1  # of an earlier life, by a clock that was ahead
+        if told is not None and tuple(told) > (self.record_incarnation, self.number):
+            self.record_incarnation = told[0] + 1  # of an earlier life, by a clock that was ahead
             self._own_record()
-        if SETTLED in versions and self.keeper is not None:
-            self.keeper.peer_settled(tuple(versions[SETTLED]))
+        if COMMITTED_SET in versions and self.replica_server is not None:
+            self.replica_server.peer_committed(tuple(versions[COMMITTED_SET]))
 
     def _news(self, peer: str, message: dict[str, Any]) -> dict[str, Any]:
         """Records as they stand; of the settled set how old this copy may be, its rows come in pieces."""
         wanted = message["v"]
         news: dict[str, Any] = {"t": "news", "at": message["at"]}
-        if SETTLED in wanted and self._may_tell(peer):
-            news["upto"], news["age"] = self.copy.upto, self._age()
+        if COMMITTED_SET in wanted and self._may_tell(peer):
+            news["upto"], news["age"] = self.learner.committed_number, self._age()
         found = [self.records.of[source].packed() for source in wanted if source in self.records.of]
         if found:
             news["records"] = found
@@ -616,14 +641,14 @@
 
     def _may_tell(self, peer: str) -> bool:
         """Of the settled set, now."""
-        return self.keeper is None or self._keeps(peer) or self._current()
+        return self.replica_server is None or self._is_replica(peer) or self._current()
 
     def _take_news(self, peer: str, news: dict[str, Any]) -> None:
-        if "upto" in news and self.keeper is None:
-            if (upto := unpack_proposal_number(news["upto"])) <= self.copy.upto:
+        if "upto" in news and self.replica_server is None:
+            if (committed_number := unpack_proposal_number(news["upto"])) <= self.learner.committed_number:
                 self.readiness.told(self.clock(), news["at"], news["age"])
             else:
-                self.catchup.told(peer, upto)
+                self.snapshot_transfer.told(peer, committed_number)
         for told in news.get("records", ()):
             self._take_record(unpack_record(told))
         self.knows_records = self.knows_records or "records" in news
@@ -631,15 +656,15 @@
 
     def _take_rows(self, peer: str, message: dict[str, Any]) -> None:
         now = self.clock()
-        if (taken := self.catchup.heard(now, peer, message)) is not None:
-            if self.keeper is not None:
-                self.keeper.learn(taken.upto, taken.rows, taken.replaced)
+        if (taken := self.snapshot_transfer.heard(now, peer, message)) is not None:
+            if self.replica_server is not None:
+                self.replica_server.learn(taken.committed_number, taken.rows, taken.replaced)
             else:
                 rows = map(unpack_row, taken.rows)
-                take = self.copy.replace if taken.replaced else self.copy.fold
-                if new := take(taken.upto, rows):
-                    self.journal.append("settled", new)
-                self.exchange.have(SETTLED, self.copy.upto)
+                take = self.learner.replace if taken.replaced else self.learner.fold
+                if new := take(taken.committed_number, rows):
+                    self.event_log.append("settled", new)
+                self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
                 self.readiness.told(now, now, taken.age)
         self._soon()
 
@@ -651,27 +676,27 @@
 
     def _flush(self) -> None:
         self.flushing = False
-        for peer, versions in self.exchange.notices():
-            if peer in self.links:
-                self.links[peer].send({"t": "have", "v": versions})
-        for peer, wanted in self.exchange.pulls(self.clock()):
-            if peer in self.links:
-                self.links[peer].send(self._pull(self.clock(), wanted))
-        if self.keeper is None or self.keeper.acceptor is not None:
-            for peer, message in self.catchup.step(self.clock()):
-                if peer in self.links:
-                    self.links[peer].send(message)
+        for peer, versions in self.anti_entropy.notices():
+            if peer in self.connections:
+                self.connections[peer].send({"t": "have", "v": versions})
+        for peer, wanted in self.anti_entropy.pulls(self.clock()):
+            if peer in self.connections:
+                self.connections[peer].send(self._pull(self.clock(), wanted))
+        if self.replica_server is None or self.replica_server.acceptor is not None:
+            for peer, message in self.snapshot_transfer.step(self.clock()):
+                if peer in self.connections:
+                    self.connections[peer].send(message)
 
     def _send_member(self, member: str, message: dict[str, Any]) -> bool:
-        link = self.links.get(self.keepers.get(member, ""))
-        if link is not None:
-            link.send(message)
-        return link is not None
+        connection = self.connections.get(self.replicas.get(member, ""))
+        if connection is not None:
+            connection.send(message)
+        return connection is not None
 
     def _a_core(self) -> str | None:
         """The control address of a linked keeper, of one in contact if there is any."""
-        good = self.dialling.in_contact()
-        some = [member for member, name in self.keepers.items() if name in good] or list(self.keepers)
+        good = self.connection_manager.in_quorum_contact()
+        some = [member for member, name in self.replicas.items() if name in good] or list(self.replicas)
         return random.choice(some) if some else None
 
 
--- a/foxspread/mesh/registry/drain_propagation.py
+++ b/foxspread/mesh/registry/drain_propagation.py
@@ -18,11 +18,11 @@
     def __init__(self, now: float, guards: bool) -> None:
         self.until, self.guards = now + SPREAD_S, guards
 
-    def outcome(self, now: float, know: int, linked: Collection[str], keepers: int) -> bool | None:
+    def outcome(self, now: float, know: int, linked: Collection[str], replicas: int) -> bool | None:
         """True: to be acknowledged; False: not now; None: to be asked again. `know`: linked keepers that have
         told that they know it; `linked`: keepers in contact with a majority that a link stands to; `keepers`:
         how many there are."""
-        if know and know >= min(len(linked), max(1, keepers // 2 + 1)):
+        if know and know >= min(len(linked), max(1, replicas // 2 + 1)):
             return True
         if now < self.until:
             return None
--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -47,14 +47,16 @@
     disk: Identity
     members: tuple[str, ...]  # those of epoch 0, or seeds
     promised: ProposalNumber = NONE
-    settled: ProposalNumber = NONE
+    committed: ProposalNumber = NONE
     accepted: ProposalNumber = NONE
     rows: list = field(default_factory=list)
     delta: list = field(default_factory=list)
     disks: dict[str, Identity] = field(default_factory=dict)
     voting: bool = False
     known: bool = False  # who the members are is known for sure, not only from seeds
-    boots: int = 0  # how often this disk has been opened, this time included; 0: by an older release only
+    start_count: int = (
+        0  # how often this disk has been opened, this time included; 0: by an older release only
+    )
 
     @classmethod
     def found(cls, meta: dict[str, Any], rows: list) -> "Saved":
@@ -88,12 +90,12 @@
     def __init__(self, me: str, saved: Saved) -> None:
         self.me, self.disk, self.seeds = me, saved.disk, MemberSet(0, tuple(sorted(saved.members)))
         self.promised, self.accepted = saved.promised, saved.accepted
-        self.copy = Learner()
-        self.copy.fold(saved.settled, map(unpack_row, saved.rows))
+        self.learner = Learner()
+        self.learner.fold(saved.committed, map(unpack_row, saved.rows))
         self.delta: dict[Key, Item] = {item.key: item for item in map(unpack_item, saved.delta)}
         self.disks, self.voting, self.known = dict(saved.disks), saved.voting, saved.known
         self.enrolled: dict[str, Message] = {}
-        self.boots = saved.boots
+        self.start_count = saved.start_count
         self.target: ProposalNumber | None = (
             None  # enrolled: it votes once it holds what was settled up to this
         )
@@ -101,12 +103,12 @@
     @property
     def members(self) -> MemberSet:
         """The set that was settled last, as far as known here."""
-        held = self.copy.items.get(MEMBERS_KEY)
+        held = self.learner.items.get(MEMBERS_KEY)
         return member_set_of(held) if held is not None else self.seeds
 
     @property
     def epoch(self) -> int:
-        held = self.copy.items.get(MEMBERS_KEY)
+        held = self.learner.items.get(MEMBERS_KEY)
         return held.version if held is not None else 0
 
     @property
@@ -119,8 +121,8 @@
         return {**self.disks, self.me: self.disk}
 
     @property
-    def unsettled(self) -> bool:
-        return self.accepted > self.copy.upto
+    def uncommitted(self) -> bool:
+        return self.accepted > self.learner.committed_number
 
     def first(self) -> list[Write]:
         """What a new disk is to hold before anything else."""
@@ -148,7 +150,7 @@
                 "t": "promise",
                 "b": asked,
                 "acc": self.accepted,
-                "s": self.copy.upto,
+                "s": self.learner.committed_number,
                 "disks": self.disks_known,
                 "delta": [item.packed() for item in self.delta.values()],
                 "ahead": self.rows(unpack_proposal_number(message["s"])),
@@ -167,12 +169,15 @@
             return [], self._nack(asked), []
         writes: list[Write] = []
         new: list[Item] = []
-        if self.copy.upto < base:
-            if message.get("ahead") is None or unpack_proposal_number(message["since"]) > self.copy.upto:
-                return [], {"t": "behind", "b": asked, "s": self.copy.upto}, []
+        if self.learner.committed_number < base:
+            if (
+                message.get("ahead") is None
+                or unpack_proposal_number(message["since"]) > self.learner.committed_number
+            ):
+                return [], {"t": "behind", "b": asked, "s": self.learner.committed_number}, []
             writes, new = self.learn(base, map(unpack_row, message["ahead"]))
         writes += self._promise(asked)
-        if asked > self.copy.upto:
+        if asked > self.learner.committed_number:
             self.accepted = asked
             self.delta = {item.key: item for item in map(unpack_item, message["delta"])}
             writes.append(self._accepted())
@@ -190,7 +195,7 @@
                 "t": "enrolled",
                 "disk": disk,
                 "promised": self.promised,
-                "s": self.copy.upto,
+                "s": self.learner.committed_number,
                 "acc": self.accepted,
                 "delta": [item.packed() for item in self.delta.values()],
                 "rows": self.rows(NONE),
@@ -229,36 +234,43 @@
         return {
             "t": "stale",
             "b": unpack_proposal_number(message["b"]),
-            "s": self.copy.upto,
+            "s": self.learner.committed_number,
             "ahead": self.rows(unpack_proposal_number(message["s"])),
         }
 
     def rows(self, since: ProposalNumber) -> list | None:
         """What has changed since then; None where that is too much for a message."""
-        if NONE < since < self.copy.horizon:
+        if NONE < since < self.learner.horizon:
             return None  # what was dropped since may be gone without a trace
-        found = self.copy.since(since) if self.copy.upto > since else []
+        found = self.learner.since(since) if self.learner.committed_number > since else []
         return [pack_row(*each) for each in found] if len(found) <= AHEAD_MOST else None
 
     # As one that learns what is settled.
 
     def learn(
-        self, upto: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]], whole: bool = False
+        self,
+        committed_number: ProposalNumber,
+        rows: Iterable[tuple[Item, ProposalNumber]],
+        whole: bool = False,
     ) -> tuple[list[Write], list[Item]]:
         """All that changed in the settled set since this copy, at the least. An older acceptance yields to
         it. With it, one that has enrolled may hold all that it waits for. `whole`: the rows are the whole
         set, in the place of this copy, which knows too little of what was dropped."""
-        if upto <= self.copy.upto:
+        if committed_number <= self.learner.committed_number:
             return [], []
         rows = list(rows)
-        new = self.copy.replace(upto, rows) if whole else self.copy.fold(upto, rows)
-        held = [pack_row(*each) for each in rows if each[0].key in self.copy.items]
-        writes: list[Write] = [("items", held), ("meta", "settled", upto)]
-        if self.copy.collected:
-            writes.append(("drop", [list(key) for key in self.copy.collected]))
-        writes += self._promise(upto)
-        if self.accepted <= upto:
-            self.accepted, self.delta = upto, {}
+        new = (
+            self.learner.replace(committed_number, rows)
+            if whole
+            else self.learner.fold(committed_number, rows)
+        )
+        held = [pack_row(*each) for each in rows if each[0].key in self.learner.items]
+        writes: list[Write] = [("items", held), ("meta", "settled", committed_number)]
+        if self.learner.collected:
+            writes.append(("drop", [list(key) for key in self.learner.collected]))
+        writes += self._promise(committed_number)
+        if self.accepted <= committed_number:
+            self.accepted, self.delta = committed_number, {}
             writes.append(self._accepted())
         for item in new:
             if item.key == MEMBERS_KEY:
@@ -269,14 +281,14 @@
         return [*writes, *self._caught_up()], new
 
     def _caught_up(self) -> list[Write]:
-        if self.target is None or self.copy.upto < self.target:
+        if self.target is None or self.learner.committed_number < self.target:
             return []
         self.target, self.voting, self.known, self.enrolled = None, True, True, {}
         return self.first()
 
-    def settle(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
+    def commit(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
         """What was accepted here at that ballot is settled; None where something else was accepted last."""
-        if self.accepted != at or at <= self.copy.upto:
+        if self.accepted != at or at <= self.learner.committed_number:
             return None
         return self.learn(at, [(item, at) for item in self.delta.values()])
 
@@ -300,7 +312,7 @@
         best = max(others.values(), key=lambda each: unpack_proposal_number(each["s"]))
         writes = self._promise(max(unpack_proposal_number(each["promised"]) for each in others.values()))
         last = max(others.values(), key=lambda each: unpack_proposal_number(each["acc"]))
-        if unpack_proposal_number(last["acc"]) > max(self.copy.upto, self.accepted):
+        if unpack_proposal_number(last["acc"]) > max(self.learner.committed_number, self.accepted):
             self.accepted = unpack_proposal_number(last["acc"])
             self.delta = {item.key: item for item in map(unpack_item, last["delta"])}
             writes.append(self._accepted())
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -41,9 +41,9 @@
     return (told[4], told[5]), (told[0], told[1])
 
 
-def end_of_proposal(upto: ProposalNumber) -> Offset:
+def end_of_proposal(committed_number: ProposalNumber) -> Offset:
     """Where all that changed up to and at that ballot has been passed."""
-    return upto, LAST
+    return committed_number, LAST
 
 
 def pack_offset(place: Offset) -> list | None:
@@ -67,27 +67,27 @@
     """What a teller has after a place, as far as it goes into one message."""
 
     rows: list[Row]
-    upto: ProposalNumber  # of the teller: with no more to come, all up to it has been passed
+    committed_number: ProposalNumber  # of the teller: with no more to come, all up to it has been passed
     more: bool
     horizon: ProposalNumber  # of the teller: what was dropped up to it may be gone without a trace
     digest: str
 
     def packed(self) -> dict[str, Any]:
-        told = {"rows": self.rows, "upto": self.upto, "more": self.more, "digest": self.digest}
+        told = {"rows": self.rows, "upto": self.committed_number, "more": self.more, "digest": self.digest}
         return told if self.horizon == NONE else {**told, "horizon": self.horizon}
 
 
 def chunk_digest(
-    rows: list[Row], after: Offset, upto: ProposalNumber, more: bool, horizon: ProposalNumber
+    rows: list[Row], after: Offset, committed_number: ProposalNumber, more: bool, horizon: ProposalNumber
 ) -> str:
     """A digest of all that a piece says, and of where it begins."""
-    body = orjson.dumps([rows, after, upto, more, horizon])
+    body = orjson.dumps([rows, after, committed_number, more, horizon])
     return blake2b(body, digest_size=12).hexdigest()
 
 
 class Learner:
     def __init__(self) -> None:
-        self.upto: ProposalNumber = NONE
+        self.committed_number: ProposalNumber = NONE
         self.items: dict[Key, Item] = {}
         self.at: dict[Key, ProposalNumber] = {}  # what changed last stands last
         self.order: list[Offset] = []  # of all in `at`, sorted; some stale
@@ -97,13 +97,15 @@
         self.refused_since = 0  # orders refused before that, by this clock, are collected
         self.collected: list[Key] = []  # not held since the last `fold` or `replace`: a disk drops their rows
 
-    def fold(self, upto: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]) -> list[Item]:
+    def fold(
+        self, committed_number: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]
+    ) -> list[Item]:
         """All that changed since `upto` was last folded, at the least; returns what is new here. A version
         never falls: agreed values only grow, and one that does not breaks all that stands on this."""
         new: list[Item] = []
         self.collected = []
         for item, at in sorted(rows, key=lambda each: (each[1], each[0].key)):
-            if not self.upto < at <= upto:
+            if not self.committed_number < at <= committed_number:
                 continue
             old = self.items.get(item.key)
             if old is not None and old.version > item.version:
@@ -114,19 +116,21 @@
                 raise InvariantViolation(f"{item.key}: two contents of r{item.version} were settled")
             if self._put(item, at) and (old is None or old.version != item.version):
                 new.append(item)
-        self.upto = max(self.upto, upto)
+        self.committed_number = max(self.committed_number, committed_number)
         if self.collected:
             self.collected = [key for key in dict.fromkeys(self.collected) if key not in self.items]
         return new
 
-    def replace(self, upto: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]) -> list[Item]:
+    def replace(
+        self, committed_number: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]
+    ) -> list[Item]:
         """A whole set in the place of this one, which knows too little of what was dropped: what is not in it
         is gone, and told first, as dropped. Nothing, where this copy is as new."""
-        if upto <= self.upto:
+        if committed_number <= self.committed_number:
             self.collected = []
             return []
         fresh = Learner()
-        new = fresh.fold(upto, rows)
+        new = fresh.fold(committed_number, rows)
         gone = [old for key, old in self.items.items() if key not in fresh.items]
         for key, item in fresh.items.items():
             old = self.items.get(key)
@@ -146,12 +150,12 @@
             each for each in new if each.key not in held or held[each.key].version != each.version
         ]
 
-    def since(self, ballot: ProposalNumber) -> list[tuple[Item, ProposalNumber]]:
-        return list(self._since(ballot))[::-1]
+    def since(self, proposal_number: ProposalNumber) -> list[tuple[Item, ProposalNumber]]:
+        return list(self._since(proposal_number))[::-1]
 
-    def _since(self, ballot: ProposalNumber) -> Iterator[tuple[Item, ProposalNumber]]:
+    def _since(self, proposal_number: ProposalNumber) -> Iterator[tuple[Item, ProposalNumber]]:
         for key in reversed(self.at):
-            if self.at[key] <= ballot:
+            if self.at[key] <= proposal_number:
                 return
             yield self.items[key], self.at[key]
 
@@ -176,10 +180,10 @@
             rows.append(told)
         return SnapshotChunk(
             rows,
-            self.upto,
+            self.committed_number,
             more,
             self.horizon,
-            chunk_digest(rows, after, self.upto, more, self.horizon),
+            chunk_digest(rows, after, self.committed_number, more, self.horizon),
         )
 
     def _put(self, item: Item, at: ProposalNumber) -> bool:
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -48,12 +48,12 @@
 
 
 class Proposer:
-    def __init__(self, acceptor: Acceptor, life: str, draw: Callable[[], float]) -> None:
-        self.acceptor, self.life, self.draw = acceptor, life, draw
+    def __init__(self, acceptor: Acceptor, incarnation: str, draw: Callable[[], float]) -> None:
+        self.acceptor, self.incarnation, self.draw = acceptor, incarnation, draw
         self.seen = 0
         self.waiting: list[PendingCall] = []
         self.running: list[PendingCall] = []
-        self.ballot: ProposalNumber | None = None  # of the round that is under way
+        self.proposal_number: ProposalNumber | None = None  # of the round that is under way
         self.asked: set[str] = set()  # whom, in this round
         self.sets: list[MemberSet] = []  # majorities of all these choose the value proposed
         self.promises: dict[str, Message] = {}
@@ -79,25 +79,29 @@
 
     def tick(self, now: float) -> ProposerOutput:
         out = ProposerOutput()
-        if (clock := self.acceptor.copy.clock) > self.noticed[0]:
+        if (clock := self.acceptor.learner.clock) > self.noticed[0]:
             self.noticed = clock, now
         self._expire(now, out)
-        if self.ballot is not None and now >= self.round_until:
+        if self.proposal_number is not None and now >= self.round_until:
             self._lost(now, 0.0)
-        if self.ballot is None and now >= self.start_at and (self.waiting or self.running or self.wanted):
+        if (
+            self.proposal_number is None
+            and now >= self.start_at
+            and (self.waiting or self.running or self.wanted)
+        ):
             self._begin(now, out)
         return out
 
     def reached(self, member: str) -> ProposerOutput:
         """A link to that member has come up: it may have missed what is being asked."""
         out = ProposerOutput()
-        if self.ballot is not None and member in self.asked:
+        if self.proposal_number is not None and member in self.asked:
             out.sends.append((member, self._prepare() if self.value is None else self._accept_of(member)))
         return out
 
     def wake_at(self) -> float | None:
         times = [call.until for call in (*self.waiting, *self.running)]
-        if self.ballot is not None:
+        if self.proposal_number is not None:
             times.append(self.round_until)
         elif self.waiting or self.running or self.wanted:
             times.append(self.start_at)
@@ -109,7 +113,7 @@
             return out
         if kind == "nack":
             self.seen = max(self.seen, message["promised"][0])
-        if self.ballot is None or unpack_proposal_number(message["b"]) != self.ballot:
+        if self.proposal_number is None or unpack_proposal_number(message["b"]) != self.proposal_number:
             return out
         if kind == "nack":
             self._lost(now, self.draw())
@@ -137,8 +141,13 @@
                 out.done.append((call.token, outcome_unknown("no majority in time")))
 
     def _begin(self, now: float, out: ProposerOutput) -> None:
-        self.seen = max(self.seen, self.acceptor.promised[0], self.acceptor.copy.upto[0]) + 1
-        self.ballot, self.value, self.promises, self.accepts = (self.seen, self.life), None, {}, {}
+        self.seen = max(self.seen, self.acceptor.promised[0], self.acceptor.learner.committed_number[0]) + 1
+        self.proposal_number, self.value, self.promises, self.accepts = (
+            (self.seen, self.incarnation),
+            None,
+            {},
+            {},
+        )
         self.round_until, self.wanted = now + ROUND_S, False
         self.running += self.waiting
         self.waiting, self.asked = [], set()
@@ -155,14 +164,14 @@
     def _prepare(self) -> Message:
         return {
             "t": "prepare",
-            "b": self.ballot,
+            "b": self.proposal_number,
             "e": self.acceptor.epoch,
-            "s": self.acceptor.copy.upto,
+            "s": self.acceptor.learner.committed_number,
         }
 
     def _learn(self, told: Message, out: ProposerOutput) -> bool:
         """What another has settled beyond this copy; False where that is too much for its message."""
-        if unpack_proposal_number(told["s"]) <= self.acceptor.copy.upto:
+        if unpack_proposal_number(told["s"]) <= self.acceptor.learner.committed_number:
             return True
         if told["ahead"] is None:
             return False
@@ -180,7 +189,7 @@
             return self._lost(now, 1.0)  # what is lacking comes in pieces
         sets = [acceptor.members]
         last = max(promises.values(), key=lambda each: unpack_proposal_number(each["acc"]), default=None)
-        if last is not None and unpack_proposal_number(last["acc"]) > acceptor.copy.upto:
+        if last is not None and unpack_proposal_number(last["acc"]) > acceptor.learner.committed_number:
             changes = [item for item in map(unpack_item, last["delta"]) if item.key == MEMBERS_KEY]
             sets += [member_set_of(item) for item in changes if item.version > acceptor.epoch]
         self._ask(sets, out)
@@ -189,16 +198,16 @@
             self._propose(now, out)
 
     def _lost(self, now: float, draw: float) -> None:
-        self.ballot, self.losses = None, min(self.losses + 1, 6)
+        self.proposal_number, self.losses = None, min(self.losses + 1, 6)
         self.wanted = self.wanted or not self.running
         self.start_at = now + draw * min(PAUSE_MOST_S, PAUSE_S * 2**self.losses)
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
         acceptor = self.acceptor
         last = max(self.promises.values(), key=lambda each: unpack_proposal_number(each["acc"]))
-        held, delta = acceptor.copy.items, {}
+        held, delta = acceptor.learner.items, {}
         open_before = (
-            unpack_proposal_number(last["acc"]) > acceptor.copy.upto
+            unpack_proposal_number(last["acc"]) > acceptor.learner.committed_number
         )  # it may be settled, unknown to us: it goes on
         if open_before:
             delta = {item.key: item for item in map(unpack_item, last["delta"]) if held.get(item.key) != item}
@@ -206,7 +215,7 @@
             changes, call.outcome = self._judged({**held, **delta} if delta else held, delta, call, now)
             delta.update(changes)
         if delta:
-            delta.update(collectable({**held, **delta}, acceptor.copy.at))
+            delta.update(collectable({**held, **delta}, acceptor.learner.at))
         if not delta and not open_before:
             return self._tell(out)
         self.value, self.round_until = delta, now + ROUND_S
@@ -232,16 +241,20 @@
 
     def _accept_of(self, member: str) -> Message:
         promise = self.promises.get(member)
-        return self._accept(unpack_proposal_number(promise["s"]) if promise else self.acceptor.copy.upto)
+        return self._accept(
+            unpack_proposal_number(promise["s"]) if promise else self.acceptor.learner.committed_number
+        )
 
     def _accept(self, since: ProposalNumber) -> Message:
         """For one whose settled set is as of `since`."""
-        copy = self.acceptor.copy  # may know more by now than at the proposal: the delta goes over that too
+        learner = (
+            self.acceptor.learner
+        )  # may know more by now than at the proposal: the delta goes over that too
         return {
             "t": "accept",
-            "b": self.ballot,
+            "b": self.proposal_number,
             "e": self.acceptor.epoch,
-            "s": copy.upto,
+            "s": learner.committed_number,
             "delta": [item.packed() for item in self.value.values()],
             "disks": {member: promise["disks"][member] for member, promise in self.promises.items()},
             "since": since,
@@ -249,7 +262,7 @@
         }
 
     def _chosen(self, now: float, out: ProposerOutput) -> None:
-        at = self.ballot
+        at = self.proposal_number
         writes, new = self.acceptor.learn(at, [(item, at) for item in self.value.values()])
         out.writes += writes
         out.new += new
@@ -257,4 +270,4 @@
 
     def _tell(self, out: ProposerOutput) -> None:
         out.done += [(call.token, call.outcome) for call in self.running]
-        self.running, self.ballot, self.losses, self.start_at = [], None, 0, 0.0
+        self.running, self.proposal_number, self.losses, self.start_at = [], None, 0, 0.0
--- a/foxspread/mesh/replication/quorum_contact.py
+++ b/foxspread/mesh/replication/quorum_contact.py
@@ -27,7 +27,7 @@
     member: str  # its control address
     votes: bool = False  # its promises and acceptances are all known to it
     epoch: int = 0  # of the members that it holds settled
-    settled: ProposalNumber = NONE
+    committed: ProposalNumber = NONE
     seen: ProposalNumber = NONE  # the newest that it has accepted or settled
     zone: str = ""
     leaving: bool = False
@@ -39,7 +39,7 @@
             "member": self.member,
             "votes": self.votes,
             "epoch": self.epoch,
-            "s": self.settled,
+            "s": self.committed,
             "seen": self.seen,
             "zone": self.zone,
             "leaving": self.leaving,
@@ -109,13 +109,13 @@
             if asking.number == message["n"]:
                 self._count(asking, told)
 
-    def held(self, members: MemberSet, upto: ProposalNumber) -> None:
+    def held(self, members: MemberSet, committed_number: ProposalNumber) -> None:
         """The agreed members and the ballot of the settled set, as held here now; asked before each `age`."""
         if members.epoch < self.epoch:
             return  # others have agreed on another set: a majority of this one may be none
         for place in range(len(self.askings) - 1, -1, -1):
             asking = self.askings[place]
-            if is_quorum([members], asking.answers.keys()) and upto >= max(
+            if is_quorum([members], asking.answers.keys()) and committed_number >= max(
                 seen for name, seen in asking.answers.items() if name in members
             ):
                 self.as_of = asking.at
@@ -150,18 +150,20 @@
         ] = {}  # life, identity, starts, promised
 
     def told(
-        self, member: str, life: str, disk: ProposalNumber, boots: int, promised: ProposalNumber
+        self, member: str, incarnation: str, disk: ProposalNumber, start_count: int, promised: ProposalNumber
     ) -> bool:
         """Whether that disk is older than one of that machine that has told before."""
         held = self.of.pop(member, None)
-        new = life, disk, boots, promised
+        new = incarnation, disk, start_count, promised
         if held is not None:
             same = held[1] == disk
-            if life != held[0] and (disk[0] < held[1][0] or same and is_older(boots, promised, [held[2:]])):
+            if incarnation != held[0] and (
+                disk[0] < held[1][0] or same and is_older(start_count, promised, [held[2:]])
+            ):
                 self.of[member] = held
                 return True
-            if life == held[0] and same:  # it may have been under way for long
-                new = life, disk, boots, max(promised, held[3])
+            if incarnation == held[0] and same:  # it may have been under way for long
+                new = incarnation, disk, start_count, max(promised, held[3])
         self.of[member] = new
         if len(self.of) > REPORTS_MOST:
             del self.of[next(iter(self.of))]
--- a/foxspread/mesh/replication/reconfiguration.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -52,7 +52,7 @@
     members: MemberSet
     lease: Item | None  # as settled here
     reports: Mapping[str, tuple[float, Report]]  # of keepers, this one too: when heard, and what
-    upto: ProposalNumber  # of this machine's settled set
+    committed_number: ProposalNumber  # of this machine's settled set
     machines: int = 1  # to be borne at once
     zones: int = 0
     age: float | None = None  # seconds since the last contact with a majority; None: none yet
@@ -63,7 +63,7 @@
         now: float,
         own: Report,
         members: MemberSet,
-        copy: Learner,
+        learner: Learner,
         heard: Mapping[str, tuple[Report, float]],
         age: float | None,
         machines: int,
@@ -72,8 +72,8 @@
         """`heard`: the newest report of each other keeper, and when it came, as `Contact` has them."""
         reports = {name: (at, report) for name, (report, at) in heard.items()}
         reports[own.member] = now, own
-        lease = copy.items.get((LEASE, MEMBERS))
-        return cls(own.member, members, lease, reports, copy.upto, machines, zones, age)
+        lease = learner.items.get((LEASE, MEMBERS))
+        return cls(own.member, members, lease, reports, learner.committed_number, machines, zones, age)
 
 
 @dataclass(slots=True)
@@ -97,9 +97,9 @@
 
 
 class Reconfiguration:
-    def __init__(self, me: str, life: str, draw: Callable[[], float]) -> None:
+    def __init__(self, me: str, incarnation: str, draw: Callable[[], float]) -> None:
         """`draw`: a number from 0 up to 1."""
-        self.me, self.life, self.draw = me, life, draw
+        self.me, self.incarnation, self.draw = me, incarnation, draw
         self.asked: SubmittedChange | None = None
         self.held: tuple[int, float] | None = None  # version of the lease, and until when it is acted on
         self.lease: tuple[int, float] = (-1, 0.0)  # the version seen, and since when
@@ -115,7 +115,7 @@
         self.well: dict[str, float] = {}  # standbys without a flaw, since when
         self.lost: dict[str, float] = {}  # keepers that were missed, when last; kept for `LATELY_S`
         self.leaving_since: float | None = None
-        self.settled: deque[tuple[float, ProposalNumber]] = deque()  # since when that much is settled here
+        self.committed: deque[tuple[float, ProposalNumber]] = deque()  # since when that much is settled here
 
     def tend(
         self,
@@ -167,7 +167,7 @@
         """Whether this machine, which leaves, may end: it is no member any more, or none stands by to take
         its place; in both cases a majority of the members hold what it holds, without it. Or `LEAVE_S` is
         over."""
-        self._note_settled(now, view.upto)
+        self._note_settled(now, view.committed_number)
         if self.leaving_since is None:
             self.leaving_since = now
         if now - self.leaving_since >= LEAVE_S:
@@ -191,7 +191,7 @@
             self.missed, self.dumb, self.well, self.need, self.held = {}, {}, {}, None, None
             self.lease = (-1, 0.0)
         self.stepped = now
-        self._note_settled(now, view.upto)
+        self._note_settled(now, view.committed_number)
         version = view.lease.version if view.lease is not None else 0
         if version != self.lease[0]:
             self.lease = version, now
@@ -227,18 +227,18 @@
             else:
                 self.well.pop(name, None)
 
-    def _note_settled(self, now: float, upto: ProposalNumber) -> None:
-        if not self.settled or self.settled[-1][1] != upto:
-            self.settled.append((now, upto))
-        while len(self.settled) > 1 and self.settled[1][0] <= now - FRESH_S - LAG_S:
-            self.settled.popleft()
+    def _note_settled(self, now: float, committed_number: ProposalNumber) -> None:
+        if not self.committed or self.committed[-1][1] != committed_number:
+            self.committed.append((now, committed_number))
+        while len(self.committed) > 1 and self.committed[1][0] <= now - FRESH_S - LAG_S:
+            self.committed.popleft()
 
     def _holds(self, view: ClusterView, name: str) -> bool:
         """Whether that keeper has told that it holds what was settled here when it was asked: while changes
         go on, its report is always older than the newest of them."""
         at, report = view.reports[name]
-        before = [upto for since, upto in self.settled if since <= at - LAG_S]
-        return report.settled >= (before[-1] if before else self.settled[0][1])
+        before = [committed_number for since, committed_number in self.committed if since <= at - LAG_S]
+        return report.committed >= (before[-1] if before else self.committed[0][1])
 
     def _since(
         self, now: float, of: dict[str, float], holds: Callable[[str], bool], view: ClusterView
@@ -359,7 +359,7 @@
         return now - self.lease[1] >= LEASE_S * OVER
 
     def _name(self) -> dict[str, str]:
-        return {"holder": self.me, "life": self.life}
+        return {"holder": self.me, "life": self.incarnation}
 
     def _ask(self, now: float, version: int, items: list[Item]) -> list[Item]:
         self.asked = SubmittedChange(now, version)
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -15,7 +15,7 @@
 ASKED = ("prepare", "accept")  # of an acceptor
 TOLD = ("promise", "nack", "behind", "stale", "accepted")  # to a proposer
 PATIENCE_S = 0.85  # for a call: the caller goes elsewhere after a second
-SETTLE_S = 0.35  # after which what is accepted and not settled is taken up by whoever notices
+COMMIT_TAKEOVER_S = 0.35  # after which what is accepted and not settled is taken up by whoever notices
 ENROL_S = 0.25  # between askings of one whose disk came back empty
 
 Tell = Callable[[bool | Failure], None]
@@ -27,21 +27,21 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        life: str,
+        incarnation: str,
         draw: Callable[[], float],
         put: Callable[[list[Write], Callable[[], None]], None],
         send: Callable[[str, Message], object],
         soon: Callable[..., object],
-        settled: Callable[[list[Item]], None],
+        committed: Callable[[list[Item]], None],
     ) -> None:
         """`soon` has a call made once what is under way is done: so a machine hears itself."""
-        self.clock, self.life, self.draw, self.put = clock, life, draw, put
-        self.send, self.soon, self.settled = send, soon, settled
+        self.clock, self.incarnation, self.draw, self.put = clock, incarnation, draw, put
+        self.send, self.soon, self.committed = send, soon, committed
         self.acceptor: Acceptor | None = None
         self.proposer: Proposer | None = None
         self.calls: dict[int, Tell] = {}
         self.count = 0
-        self.unsettled_at: tuple[ProposalNumber, float] | None = None
+        self.uncommitted_since: tuple[ProposalNumber, float] | None = None
         self.fresh = False  # since its start it has seen all that was settled before
         self.reading = False
         self.next_enrol = 0.0
@@ -50,10 +50,10 @@
         self.others: Callable[[], Iterable[str]] = tuple  # machines with a disk that can be reached
 
     def begin(self, acceptor: Acceptor) -> None:
-        self.acceptor, self.proposer = acceptor, self.proposes_with(acceptor, self.life, self.draw)
+        self.acceptor, self.proposer = acceptor, self.proposes_with(acceptor, self.incarnation, self.draw)
         self.caught_up, self.durable = acceptor.known, acceptor.promised
         self.put(acceptor.first(), lambda: None)
-        self.settled(list(acceptor.copy.items.values()))
+        self.committed(list(acceptor.learner.items.values()))
 
     def ask(self, items: list[Item], tell: Tell, patience: float = PATIENCE_S) -> None:
         """Tells True, or a failure, within `patience` seconds; without items a read: True once this copy is
@@ -81,16 +81,16 @@
         elif kind in TOLD:
             self._do(self.proposer.heard(self.clock(), sender, message))
 
-    def learn(self, upto: ProposalNumber, rows: list, whole: bool = False) -> None:
+    def learn(self, committed_number: ProposalNumber, rows: list, whole: bool = False) -> None:
         """News of the settled set, from another copy; `whole`: all of it, in the place of this one."""
         if self.acceptor is not None:
-            self._learnt(*self.acceptor.learn(upto, map(unpack_row, rows), whole))
+            self._learnt(*self.acceptor.learn(committed_number, map(unpack_row, rows), whole))
 
     def found_older(self, chance: str) -> None:
         """Others have heard later things of this machine's disk: it enrols anew. `chance`: of its new
         identity."""
         if self.acceptor is not None and self.acceptor.known:
-            log_event("disk_older", disk=self.acceptor.disk, boots=self.acceptor.boots)
+            log_event("disk_older", disk=self.acceptor.disk, boots=self.acceptor.start_count)
             self.put(self.acceptor.forget(chance), lambda: None)
             self.caught_up, self.fresh, self.next_enrol = False, False, 0.0
 
@@ -98,18 +98,22 @@
         self.put(writes, lambda: None)
         if self.acceptor.known and not self.caught_up:
             self.caught_up = True
-            log_event("caught_up", members=len(self.acceptor.members.of), upto=self.acceptor.copy.upto[0])
-        self.settled(new)
-
-    def peer_settled(self, at: ProposalNumber) -> None:
+            log_event(
+                "caught_up",
+                members=len(self.acceptor.members.of),
+                upto=self.acceptor.learner.committed_number[0],
+            )
+        self.committed(new)
+
+    def peer_committed(self, at: ProposalNumber) -> None:
         """Another has settled that: if it is what was accepted here, nothing need be pulled."""
         if (
             self.acceptor is not None
             and self.acceptor.voting
-            and (found := self.acceptor.settle(at)) is not None
+            and (found := self.acceptor.commit(at)) is not None
         ):
             self.put(found[0], lambda: None)
-            self.settled(found[1])
+            self.committed(found[1])
 
     def reached(self, member: str) -> None:
         """A link to that member has come up."""
@@ -134,22 +138,29 @@
         if not self.fresh and not self.reading:
             self.reading = True
             self.ask([], self._read)
-        if not acceptor.unsettled:
-            self.unsettled_at = None
-        elif self.unsettled_at is None or self.unsettled_at[0] != acceptor.accepted:
+        if not acceptor.uncommitted:
+            self.uncommitted_since = None
+        elif self.uncommitted_since is None or self.uncommitted_since[0] != acceptor.accepted:
             of = acceptor.members.of
             place = of.index(acceptor.me) if acceptor.me in of else len(of)
-            self.unsettled_at = acceptor.accepted, now + SETTLE_S * (1 + 0.4 * place) + 0.1 * self.draw()
-        elif now >= self.unsettled_at[1]:
-            self.unsettled_at = None
+            self.uncommitted_since = (
+                acceptor.accepted,
+                now + COMMIT_TAKEOVER_S * (1 + 0.4 * place) + 0.1 * self.draw(),
+            )
+        elif now >= self.uncommitted_since[1]:
+            self.uncommitted_since = None
             self._do(self.proposer.nudge(now))
 
     def _read(self, outcome: bool | Failure) -> None:
         self.reading = False
         if outcome is True and not self.fresh:
             self.fresh = True
-            log_event("state_known", upto=self.acceptor.copy.upto[0], items=len(self.acceptor.copy.items))
-            self.settled([])
+            log_event(
+                "state_known",
+                upto=self.acceptor.learner.committed_number[0],
+                items=len(self.acceptor.learner.items),
+            )
+            self.committed([])
 
     def _answer(self, sender: str, writes: list[Write], reply: Message | None, new: list[Item]) -> None:
         promised = self.acceptor.promised
@@ -161,7 +172,7 @@
 
         self.put(writes, go)
         if new:
-            self.settled(new)
+            self.committed(new)
 
     def _pass(self, to: str, message: Message) -> None:
         if to == self.acceptor.me:
@@ -177,4 +188,4 @@
         for token, outcome in out.done:
             self.calls.pop(token)(outcome)
         if out.new or out.done:
-            self.settled(out.new)
+            self.committed(out.new)
--- a/foxspread/mesh/replication/replica_server.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -20,13 +20,13 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        life: str,
+        incarnation: str,
         draw: Callable[[], float],
         disk: Storage,
         send: Callable[[str, Message], bool],
-        settled: Callable[[list[Item]], None],
+        committed: Callable[[list[Item]], None],
     ) -> None:
-        super().__init__(clock, life, draw, disk.put, send, self._soon, settled)
+        super().__init__(clock, incarnation, draw, disk.put, send, self._soon, committed)
         self.disk = disk
         self.patience: Callable[[], float] = lambda: PATIENCE_S  # for a call that comes now, seconds
 
@@ -41,8 +41,8 @@
             acceptor.me,
             acceptor.known and acceptor.voting,
             self.members.epoch,
-            acceptor.copy.upto,
-            max(acceptor.accepted, acceptor.copy.upto),
+            acceptor.learner.committed_number,
+            max(acceptor.accepted, acceptor.learner.committed_number),
             zone,
             leaving,
             hears,
--- a/foxspread/mesh/replication/snapshot_transfer.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -38,7 +38,7 @@
 class ReceivedRows:
     """The whole of what was lacking."""
 
-    upto: ProposalNumber
+    committed_number: ProposalNumber
     rows: list[Row]
     replaced: bool  # it is the whole set, in the place of what is held: `Copy.replace`
     age: float | None  # seconds for which something newer that was acknowledged may be missing
@@ -53,11 +53,11 @@
 
 class SnapshotTransfer:
     def __init__(
-        self, copy: Learner, draw: Callable[[], float], bytes_a_second: float = float("inf")
+        self, learner: Learner, draw: Callable[[], float], bytes_a_second: float = float("inf")
     ) -> None:
         """`copy`: what is held here; whoever is handed a `Taken` folds it in there. `bytes_a_second`: of rows
         as JSON, asked for at the most."""
-        self.copy, self.draw, self.bytes_a_second = copy, draw, bytes_a_second
+        self.learner, self.draw, self.bytes_a_second = learner, draw, bytes_a_second
         self.has: dict[Hashable, ProposalNumber] = {}
         self.shunned: dict[Hashable, float] = {}
         self.count = 0
@@ -80,9 +80,9 @@
         self.waiting = None
         self.askings.clear()
 
-    def told(self, peer: Hashable, upto: ProposalNumber) -> None:
+    def told(self, peer: Hashable, committed_number: ProposalNumber) -> None:
         """What that peer says it holds, of late."""
-        self.has[peer] = upto
+        self.has[peer] = committed_number
 
     def left(self, peer: Hashable) -> None:
         self.has.pop(peer, None)
@@ -92,7 +92,7 @@
 
     @property
     def behind(self) -> bool:
-        return max(self.has.values(), default=NONE) > self.copy.upto
+        return max(self.has.values(), default=NONE) > self.learner.committed_number
 
     def wake_at(self) -> float | None:
         if self.waiting is not None:
@@ -108,14 +108,14 @@
             if now < self.until:
                 return []
             self._failed(now, self.waiting.peer)
-        if self.started and self.copy.upto >= self.ceiling:
+        if self.started and self.learner.committed_number >= self.ceiling:
             self._begin(anew=False)  # learnt meanwhile by another way
         self._look_for_ceiling(now)
         if not self.behind or now < self.next_at:
             return []
         if not self.started:
-            self.cursor = START if self.anew else end_of_proposal(self.copy.upto)
-            self.since = None if self.cursor == START else self.copy.upto
+            self.cursor = START if self.anew else end_of_proposal(self.learner.committed_number)
+            self.since = None if self.cursor == START else self.learner.committed_number
         peer = self._peer(now)
         if peer is None:
             return []
@@ -133,20 +133,24 @@
         asking = self.askings.get(message["n"])
         if asking is None or asking.peer != peer or asking.after != self.cursor:
             return None  # of what was asked of another meanwhile, or begun anew since
-        upto = unpack_proposal_number(message["upto"])
+        committed_number = unpack_proposal_number(message["upto"])
         if peer in self.has:
-            self.has[peer] = upto
+            self.has[peer] = committed_number
         if message.get("again"):
             self._begin(anew=True)
             return None
         rows, more = message["rows"], message["more"]
         horizon = unpack_proposal_number(message.get("horizon", NONE))
-        if message["digest"] != chunk_digest(rows, self.cursor, upto, more, horizon) or more and not rows:
+        if (
+            message["digest"] != chunk_digest(rows, self.cursor, committed_number, more, horizon)
+            or more
+            and not rows
+        ):
             self._failed(now, peer)
             if self.shunned.keys() >= set(self._useful()):
                 self.next_at = now + self.draw() * self.patience
             return None
-        if upto < self.cursor[0]:
+        if committed_number < self.cursor[0]:
             self.waiting = None
             return None
         if self.since is not None and horizon > self.since:
@@ -156,29 +160,29 @@
         self.patience = min(ASKED_MOST_S, max(ASKED_S, TIMES_LAST * (now - asking.at)))
         if self.bytes_a_second < float("inf"):
             self.next_at = asking.at + len(orjson.dumps(rows)) / self.bytes_a_second
-        self.since = upto if self.since is None else min(self.since, upto)
-        self.ceiling = max(self.ceiling, upto)
+        self.since = committed_number if self.since is None else min(self.since, committed_number)
+        self.ceiling = max(self.ceiling, committed_number)
         for each in rows:
             self.staged[each[0], each[1]] = each
-        self.cursor = offset_of(rows[-1]) if more else end_of_proposal(upto)
-        if more or upto < self.ceiling:
+        self.cursor = offset_of(rows[-1]) if more else end_of_proposal(committed_number)
+        if more or committed_number < self.ceiling:
             return None
         told, replaced = list(self.staged.values()), self.anew
         self._begin(anew=False)
-        if upto <= self.copy.upto:
+        if committed_number <= self.learner.committed_number:
             return None
         age = message.get("age")
-        return ReceivedRows(upto, told, replaced, None if age is None else age + now - asking.at)
+        return ReceivedRows(committed_number, told, replaced, None if age is None else age + now - asking.at)
 
     @staticmethod
-    def answer(copy: Learner, message: Message, age: float | None, for_keeper: bool) -> Message:
+    def answer(learner: Learner, message: Message, age: float | None, for_keeper: bool) -> Message:
         """What a teller says to `piece`. A machine without a disk holds too little for one with a disk."""
         after = unpack_offset(message["after"])
         since = unpack_proposal_number(message.get("since", after[0]))
         told = {"t": "rows", "n": message["n"]}
-        if after != START and copy.horizon > since:
-            return {**told, "upto": copy.upto, "again": True}
-        return {**told, **copy.piece(after, bare=not for_keeper).packed(), "age": age}
+        if after != START and learner.horizon > since:
+            return {**told, "upto": learner.committed_number, "again": True}
+        return {**told, **learner.piece(after, bare=not for_keeper).packed(), "age": age}
 
     def _failed(self, now: float, peer: Hashable) -> None:
         self.waiting = None
@@ -188,7 +192,9 @@
     def _look_for_ceiling(self, now: float) -> None:
         """What is staged becomes a whole only with a teller no older than any before; where there is none,
         it is left after a while for one that can be had."""
-        if not self.started or any(upto >= self.ceiling for upto in self.has.values()):
+        if not self.started or any(
+            committed_number >= self.ceiling for committed_number in self.has.values()
+        ):
             self.below_since = None
         elif self.below_since is None:
             self.below_since = now
@@ -197,8 +203,16 @@
 
     def _useful(self) -> list[Hashable]:
         if not self.started:
-            return [peer for peer, upto in self.has.items() if upto > self.copy.upto]
-        return [peer for peer, upto in self.has.items() if end_of_proposal(upto) > self.cursor]
+            return [
+                peer
+                for peer, committed_number in self.has.items()
+                if committed_number > self.learner.committed_number
+            ]
+        return [
+            peer
+            for peer, committed_number in self.has.items()
+            if end_of_proposal(committed_number) > self.cursor
+        ]
 
     def _peer(self, now: float) -> Hashable | None:
         """One with the newest that did not fail of late, or the one that failed longest ago."""
--- a/foxspread/mesh/replication/storage.py
+++ b/foxspread/mesh/replication/storage.py
@@ -38,11 +38,11 @@
 }
 
 
-def is_older(boots: int, promised: ProposalNumber, held: Iterable[tuple[int, ProposalNumber]]) -> bool:
+def is_older(start_count: int, promised: ProposalNumber, held: Iterable[tuple[int, ProposalNumber]]) -> bool:
     """Whether a disk is a copy from before. `boots` and `promised`: what it tells of itself at its start;
     `held`: the highest of both that others have heard from a disk of that identity. A ballot that it has told
     nobody who is left can't be missed by this."""
-    return any(boots < others_boots or promised < others for others_boots, others in held)
+    return any(start_count < others_boots or promised < others for others_boots, others in held)
 
 
 class StorageCorruptedError(Exception):
@@ -109,10 +109,10 @@
 
     def _booted(self, saved: Saved) -> Saved:
         """One start more, and that is on disk before anything else is done."""
-        saved.boots += 1
+        saved.start_count += 1
         try:
             self.db.execute(
-                "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", ("boots", *_seal("boots", saved.boots))
+                "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", ("boots", *_seal("boots", saved.start_count))
             )
         except sqlite3.Error:
             self.db.close()
--- a/foxspread/mesh/settings.py
+++ b/foxspread/mesh/settings.py
@@ -119,7 +119,7 @@
         return self.ip, self.inner_ports[0]
 
     @property
-    def keeps(self) -> bool:
+    def has_storage(self) -> bool:
         """Whether it holds the state on a disk."""
         return self.data_dir is not None
 
--- a/foxspread/mesh/simulation/disks.py
+++ b/foxspread/mesh/simulation/disks.py
@@ -29,7 +29,7 @@
         if "disk" not in self.meta:
             identity = (0 if first else 1, f"{self.name}.{self.wipes}.{self.turn}")
             self.meta["boots"] = b"1"
-            return Saved(identity, members, voting=first, known=first, boots=1)
+            return Saved(identity, members, voting=first, known=first, start_count=1)
         self.meta["boots"] = b"%d" % (orjson.loads(self.meta.get("boots", b"0")) + 1)
         meta = {name: orjson.loads(body) for name, body in self.meta.items()}
         return Saved.found(meta, [orjson.loads(body) for body in self.items.values()])
--- a/foxspread/mesh/simulation/explore.py
+++ b/foxspread/mesh/simulation/explore.py
@@ -58,7 +58,7 @@
     flying: list[tuple[str, str, bytes]] = field(default_factory=list)
     told: list[tuple[Item, bool]] = field(default_factory=list)
     shown: dict[tuple[Key, int], bytes] = field(default_factory=dict)
-    settled: dict[tuple[Key, int], Item] = field(default_factory=dict)
+    committed: dict[tuple[Key, int], Item] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
     crashes: int = 0
     wipes: int = 0
@@ -93,7 +93,7 @@
     def copied(self) -> "Table":
         """One that may go another way; machines are shared until they are touched."""
         new = shallow_copy(self)
-        for name in ("disks", "acceptors", "proposers", "lives", "starts", "shown", "settled", "keys"):
+        for name in ("disks", "acceptors", "proposers", "lives", "starts", "shown", "committed", "keys"):
             setattr(new, name, dict(getattr(self, name)))
         new.flying, new.told, new.faults = list(self.flying), list(self.told), list(self.faults)
         return new
@@ -115,7 +115,7 @@
                 if self.case.prompt and not self.case.answered:
                     yield "unanswered", number
         for name, proposer in self.proposers.items():
-            if self.starts[name] and (proposer.waiting or proposer.running or proposer.ballot):
+            if self.starts[name] and (proposer.waiting or proposer.running or proposer.proposal_number):
                 yield "start", name
         if self.crashes:
             yield from (("crash", name) for name in self.case.may_crash or self.case.members)
@@ -124,7 +124,7 @@
         if self.case.news:
             for one, there in self.acceptors.items():
                 for other, here in self.acceptors.items():
-                    if there.copy.upto > here.copy.upto and here.serves:
+                    if there.learner.committed_number > here.learner.committed_number and here.serves:
                         yield "news", one, other
 
     def do(self, action: Action) -> None:
@@ -182,8 +182,10 @@
 
     def news(self, one: str, other: str) -> None:
         self._touch(other)
-        there, here = self.acceptors[one].copy, self.acceptors[other]
-        found = here.settle(there.upto) or here.learn(there.upto, there.since(here.copy.upto))
+        there, here = self.acceptors[one].learner, self.acceptors[other]
+        found = here.commit(there.committed_number) or here.learn(
+            there.committed_number, there.since(here.learner.committed_number)
+        )
         self._write(other, found[0])
         self._show(found[1])
 
@@ -225,7 +227,7 @@
         for item, outcome in out.done:
             if not isinstance(outcome, Failure) or outcome.status < 500:
                 self.told.append((item, outcome is True))
-        if (proposer := self.proposers[me]).ballot is None:
+        if (proposer := self.proposers[me]).proposal_number is None:
             proposer.start_at = NEVER
 
     def _send(self, me: str, to: str, message: Message) -> None:
@@ -250,13 +252,13 @@
     def _show(self, new: list[Item]) -> None:
         for item in new:
             content = orjson.dumps(item.content)
-            self.settled.setdefault((item.key, item.version), item)
+            self.committed.setdefault((item.key, item.version), item)
             if self.shown.setdefault((item.key, item.version), content) != content:
                 self.faults.append(f"two contents of {item.name}@r{item.version} were shown")
 
     def _judge(self) -> None:
-        for (key, version), item in self.settled.items():
-            if key == MEMBERS_KEY and version > 1 and (key, version - 1) not in self.settled:
+        for (key, version), item in self.committed.items():
+            if key == MEMBERS_KEY and version > 1 and (key, version - 1) not in self.committed:
                 self.faults.append(f"members@r{version} was in force before members@r{version - 1}")
         confirmed: dict[tuple[Key, int], Item] = {}
         for item, taken in self.told:
@@ -271,7 +273,7 @@
                 self.faults.append(f"{item.name}@r{item.version} was acknowledged and another holds")
             if not taken and is_shown:
                 self.faults.append(f"{item.name}@r{item.version} was refused and is in force")
-        sets = [item for item in self.settled.values() if item.key == MEMBERS_KEY]
+        sets = [item for item in self.committed.values() if item.key == MEMBERS_KEY]
         of = max(sets, key=lambda item: item.version).content["of"] if sets else self.case.members
         voting = [name for name in of if self.acceptors[name].voting]
         for some in combinations(voting, len(of) // 2 + 1):
@@ -297,7 +299,10 @@
             message = loads(each[2])
             proposer, kind = self.proposers[each[1]], message["t"]
             if kind in ("promise", "accepted", "behind", "nack"):
-                if proposer.ballot is None or unpack_proposal_number(message["b"]) != proposer.ballot:
+                if (
+                    proposer.proposal_number is None
+                    or unpack_proposal_number(message["b"]) != proposer.proposal_number
+                ):
                     continue
                 if kind == "promise" and (proposer.value is not None or each[0] in proposer.promises):
                     continue
@@ -305,7 +310,7 @@
                 continue
             elif self.case.prompt and kind in ("prepare", "accept"):
                 sender, at = self.proposers[each[0]], unpack_proposal_number(message["b"])
-                if kind == "prepare" and sender.ballot != at:
+                if kind == "prepare" and sender.proposal_number != at:
                     continue  # it would only keep others from being heard
                 if at < self.acceptors[each[1]].promised and not self.starts[each[0]]:
                     continue  # it would only end a ballot, as never coming does
@@ -323,7 +328,7 @@
 
 
 def _key(acceptor: Acceptor, proposer: Proposer) -> bytes:
-    copy = acceptor.copy
+    learner = acceptor.learner
     rows = (
         (
             acceptor.disk,
@@ -333,9 +338,15 @@
             sorted(acceptor.disks.items()),
         ),
         sorted((item.key, item.version, str(item.content)) for item in acceptor.delta.values()),
-        (copy.upto, sorted(copy.at.items()), sorted(map(str, copy.items.values()))),
+        (learner.committed_number, sorted(learner.at.items()), sorted(map(str, learner.items.values()))),
         sorted(map(str, acceptor.enrolled.items())),
-        (proposer.life, proposer.seen, proposer.ballot, len(proposer.waiting), len(proposer.running)),
+        (
+            proposer.incarnation,
+            proposer.seen,
+            proposer.proposal_number,
+            len(proposer.waiting),
+            len(proposer.running),
+        ),
         (sorted(map(str, proposer.promises.items())), str(sorted(proposer.accepts))),
         sorted(map(str, (proposer.value or {}).values())),
     )
@@ -367,10 +378,10 @@
 
 def read_from(acceptors: list[Acceptor]) -> dict[Key, Item]:
     """What a proposer that heard exactly these would take for the value."""
-    newest = max(acceptors, key=lambda each: each.copy.upto)
+    newest = max(acceptors, key=lambda each: each.learner.committed_number)
     last = max(acceptors, key=lambda each: each.accepted)
-    held = dict(newest.copy.items)
-    if last.accepted > newest.copy.upto:
+    held = dict(newest.learner.items)
+    if last.accepted > newest.learner.committed_number:
         held.update(last.delta)
     return held
 
--- a/foxspread/mesh/simulation/faults.py
+++ b/foxspread/mesh/simulation/faults.py
@@ -126,8 +126,8 @@
     def _freeze(self, machine: Machine, seconds: float) -> bool | None:
         if not machine.up or machine.frozen or not self._bearable(machine):
             return False
-        machine.frozen, life = True, machine.life
-        self._until(seconds, machine, lambda: machine.thaw() if machine.life == life else None)
+        machine.frozen, incarnation = True, machine.incarnation
+        self._until(seconds, machine, lambda: machine.thaw() if machine.incarnation == incarnation else None)
 
     def _cut(self, machine: Machine, seconds: float, ways: str = "io") -> bool | None:
         return self._cut_off([machine], seconds, ways)
@@ -198,9 +198,11 @@
         """It says that it leaves, and ends once it may, at its grace in any case; then it comes back."""
         if self.whole or not machine.up or machine.frozen or not self._bearable(machine):
             return False
-        machine.leaving, life = True, machine.life
+        machine.leaving, incarnation = True, machine.incarnation
         self.leaving[machine.name] = seconds
-        self._until(GRACE_S, machine, lambda: self.has_left(machine) if machine.life == life else None)
+        self._until(
+            GRACE_S, machine, lambda: self.has_left(machine) if machine.incarnation == incarnation else None
+        )
 
     def has_left(self, machine: Machine) -> None:
         if machine.up and machine.leaving:
--- a/foxspread/mesh/simulation/fleet.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -100,7 +100,7 @@
         if event.kind in ("call", "read"):
             return self.operators.call(event.items, machine)
         if event.kind == "copy":
-            return self.operators.copy(event.items, machine)
+            return self.operators.learner(event.items, machine)
         self.faults.befall(event)
 
 
--- a/foxspread/mesh/simulation/invariants.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -97,39 +97,41 @@
 
     # What copies show.
 
-    def started(self, copy: str) -> None:
-        self.copies[copy] = {}
+    def started(self, learner: str) -> None:
+        self.copies[learner] = {}
 
-    def shows(self, copy: str, new: Iterable[Item]) -> None:
-        held = self.copies[copy]
+    def shows(self, learner: str, new: Iterable[Item]) -> None:
+        held = self.copies[learner]
         before, changed = dict(held), {}
         for item in new:
             same = _same(item)
             self.seen.add(same)
             self.versions.setdefault(item.key, set()).add(item.version)
-            first = self.contents.setdefault(same[:2], (same[2], copy))
+            first = self.contents.setdefault(same[:2], (same[2], learner))
             other = self.confirmed.get(same[:2], first)
             for what in (first, other):
                 if what[0] != same[2]:
-                    self.broken("one content", f"{shown(item)} at {copy}, another content at {what[1]}")
+                    self.broken("one content", f"{shown(item)} at {learner}, another content at {what[1]}")
             old = held.get(item.key)
             if old is not None and old.version > item.version:
-                self.broken("no way back", f"{copy} showed {shown(old)}, then {shown(item)}")
+                self.broken("no way back", f"{learner} showed {shown(old)}, then {shown(item)}")
             held[item.key] = changed[item.key] = item
             if item.kind == MEMBERS:
-                self._one_step(copy, item)
+                self._one_step(learner, item)
         if changed and (why := consistent(before, changed)) is not None:
-            self.broken("consistent", f"{copy}: {why.reason}")
+            self.broken("consistent", f"{learner}: {why.reason}")
 
-    def _one_step(self, copy: str, item: Item) -> None:
+    def _one_step(self, learner: str, item: Item) -> None:
         """The set of members changes by one machine at a time."""
         self.sets[item.version] = set(item.content["of"])
         if item.version > 1 and item.version - 1 not in self.sets:
-            self.broken("one at a time", f"{copy}: members r{item.version}, and nobody showed the one before")
+            self.broken(
+                "one at a time", f"{learner}: members r{item.version}, and nobody showed the one before"
+            )
         for one in (item.version - 1, item.version):
             old, new = self.sets.get(one), self.sets.get(one + 1)
             if old is not None and new is not None and len(old ^ new) != 1:
-                self.broken("one at a time", f"{copy}: members {sorted(old)}, then {sorted(new)}")
+                self.broken("one at a time", f"{learner}: members {sorted(old)}, then {sorted(new)}")
 
     def acted(self, machine: str, items: list[Item], outcome: bool | Failure) -> None:
         """One that does a duty was told so of the lease that it named."""
@@ -141,7 +143,7 @@
                         "one holder", f"lease {item.version} was acted on by {other} and by {machine}"
                     )
 
-    def tells(self, copy: str, what: str, items: dict[Key, Item]) -> None:
+    def tells(self, learner: str, what: str, items: dict[Key, Item]) -> None:
         """It shows, tells or says something by what it holds: all is there that was known `FRESH_S` ago."""
         while self.ripe < len(self.known_since) and self.known_since[self.ripe][0] <= self.now - FRESH_S:
             item = self.known_since[self.ripe][1]
@@ -151,7 +153,7 @@
             held = items.get(key)
             if held is None or held.version < item.version:
                 has = shown(held) if held is not None else "nothing"
-                self.broken("nothing old", f"{copy} {what} by {has}: {shown(item)} was known long before")
+                self.broken("nothing old", f"{learner} {what} by {has}: {shown(item)} was known long before")
 
     # What operators are told.
 
@@ -216,18 +218,18 @@
     def alike(self, current: Iterable[str]) -> None:
         """All has been whole for a while: the copies that live show the same."""
         shown_by = {
-            copy: {key: item for key, item in self.copies.get(copy, {}).items() if for_all(item)}
-            for copy in current
+            learner: {key: item for key, item in self.copies.get(learner, {}).items() if for_all(item)}
+            for learner in current
         }
         newest: dict[Key, Item] = {}
         for held in shown_by.values():
             for key, item in held.items():
                 if key not in newest or newest[key].version < item.version:
                     newest[key] = item
-        for copy, held in shown_by.items():
+        for learner, held in shown_by.items():
             if held != newest:
                 lacks = [shown(item) for key, item in newest.items() if held.get(key) != item]
-                self.broken("all alike", f"{copy} lacks {', '.join(lacks)}")
+                self.broken("all alike", f"{learner} lacks {', '.join(lacks)}")
 
     def back(self, machine: str) -> Return:
         """Its trouble is over."""
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from foxspread.mesh.simulation.fleet import Fleet
 
-SETTLED = "="  # the source of the settled set, as in a node
+COMMITTED_SET = "="  # the source of the settled set, as in a node
 TICK_S = 0.1
 MEET_S = 1.5  # links come up anew, whoever was missed is told
 PIECE_BYTES = 600  # of rows in a piece: so small that a set comes in many
@@ -47,10 +47,10 @@
     proposer: type[Proposer] = Proposer
     replica: type[Replica] = Replica
     disk: type[SimDisk] = SimDisk
-    contact: type[QuorumContact] = QuorumContact
-    catchup: type[SnapshotTransfer] = SnapshotTransfer
+    quorum_contact: type[QuorumContact] = QuorumContact
+    snapshot_transfer: type[SnapshotTransfer] = SnapshotTransfer
     readiness: type[Readiness] = Readiness
-    replacement: type[Reconfiguration] = Reconfiguration
+    reconfiguration: type[Reconfiguration] = Reconfiguration
 
 
 class Party:
@@ -58,23 +58,23 @@
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
         self.fleet, self.world, self.name = fleet, fleet.world, name
-        self.life, self.up, self.frozen = 0, False, False
+        self.incarnation, self.up, self.frozen = 0, False, False
         self.rate, self.offset = 1.0, 0.0
         self.inbox: list[Callable[[], None]] = []
         self._holds(Learner())
-        self.exchange = AntiEntropy()
+        self.anti_entropy = AntiEntropy()
         self.flushing = False
 
-    def _holds(self, copy: Learner) -> None:
+    def _holds(self, learner: Learner) -> None:
         def small(after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-            return Learner.piece(copy, after, most, bare)
+            return Learner.piece(learner, after, most, bare)
 
-        self.copy, copy.piece = copy, small
-        self.catchup = self.fleet.cores.catchup(copy, self.world.draw)
+        self.learner, learner.piece = learner, small
+        self.snapshot_transfer = self.fleet.cores.snapshot_transfer(learner, self.world.draw)
 
     @property
     def named(self) -> str:
-        return f"{self.name}.{self.life}"
+        return f"{self.name}.{self.incarnation}"
 
     def clock(self) -> float:
         return self.offset + self.rate * self.world.now
@@ -93,8 +93,8 @@
             self.kill()
 
     def later(self, seconds: float, call: Callable[[], None]) -> None:
-        life = self.life
-        self.world.after(seconds, lambda: self.does(call) if life == self.life else None)
+        incarnation = self.incarnation
+        self.world.after(seconds, lambda: self.does(call) if incarnation == self.incarnation else None)
 
     def thaw(self) -> None:
         if self.frozen:
@@ -104,13 +104,13 @@
                 self.does(call)
 
     def kill(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.up, self.frozen, self.inbox = False, False, []
-        self.fleet.links.lives[self.name] = self.life
+        self.fleet.links.lives[self.name] = self.incarnation
 
     def start(self) -> None:
         self.up, self.flushing = True, False
-        self.exchange = AntiEntropy(self._tells)
+        self.anti_entropy = AntiEntropy(self._tells)
         self.fleet.judge.started(self.named)
         self.later(0.0, self._meet)
         self.later(self.world.draw() * TICK_S, self._tick)
@@ -132,10 +132,10 @@
                 self._send(core.name, {"t": "hello"})
 
     def _met(self, name: str) -> None:
-        self.exchange.left(name)
-        self.exchange.met(name)
-        self.catchup.left(name)
-        if versions := self.exchange.whole(name):
+        self.anti_entropy.left(name)
+        self.anti_entropy.met(name)
+        self.snapshot_transfer.left(name)
+        if versions := self.anti_entropy.whole(name):
             self._send(name, {"t": "have", "v": versions})
 
     def heard(self, sender: str, message: dict[str, Any]) -> None:
@@ -143,24 +143,29 @@
         if kind == "hello":
             self._met(sender)
         elif kind == "have":
-            upto = unpack_proposal_number(message["v"][SETTLED])
+            committed_number = unpack_proposal_number(message["v"][COMMITTED_SET])
             if self._learns_from(sender):
-                self.catchup.told(sender, upto)
-            self._noticed(upto)
+                self.snapshot_transfer.told(sender, committed_number)
+            self._noticed(committed_number)
             self._soon()
         elif kind == "pull":
             if self._may_tell(sender):
-                news = {"t": "news", "at": message["at"], "upto": self.copy.upto, "age": self._age()}
+                news = {
+                    "t": "news",
+                    "at": message["at"],
+                    "upto": self.learner.committed_number,
+                    "age": self._age(),
+                }
                 self._send(sender, news)
         elif kind == "news":
             self._hears_news(sender, message)
             self._soon()
         elif kind == "piece":
             if self._may_tell(sender):
-                keeps = isinstance(self.fleet.parties[sender], Machine)
-                self._send(sender, SnapshotTransfer.answer(self.copy, message, self._age(), keeps))
+                has_storage = isinstance(self.fleet.parties[sender], Machine)
+                self._send(sender, SnapshotTransfer.answer(self.learner, message, self._age(), has_storage))
         elif kind == "rows":
-            if (taken := self.catchup.heard(self.clock(), sender, message)) is not None:
+            if (taken := self.snapshot_transfer.heard(self.clock(), sender, message)) is not None:
                 self._take(taken)
             self._soon()
 
@@ -186,10 +191,12 @@
     def _show(self, new: list[Item]) -> None:
         self.fleet.judge.now = self.world.now
         if new := [item.bare for item in new if item.kind in SHOWN]:
-            self.fleet.say(f"{self.name} shows {' '.join(map(shown, new))}, upto {self.copy.upto[0]}")
+            self.fleet.say(
+                f"{self.name} shows {' '.join(map(shown, new))}, upto {self.learner.committed_number[0]}"
+            )
             self.fleet.judge.shows(self.named, new)
-        self.exchange.have(SETTLED, self.copy.upto)
-        self.exchange.dirty.add(SETTLED)
+        self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
+        self.anti_entropy.dirty.add(COMMITTED_SET)
         self._soon()
 
     def _soon(self) -> None:
@@ -199,9 +206,9 @@
 
     def _flush(self) -> None:
         self.flushing = False
-        for peer, versions in self.exchange.notices():
+        for peer, versions in self.anti_entropy.notices():
             self._send(peer, {"t": "have", "v": versions})
-        for peer, message in self.catchup.step(self.clock()):
+        for peer, message in self.snapshot_transfer.step(self.clock()):
             self._send(peer, message)
 
     def _send(self, to: str, message: dict[str, Any]) -> None:
@@ -219,26 +226,28 @@
     def _tick(self) -> None:
         if self.readiness.asks(self.clock(), False):
             to = self.world.pick(self.fleet.machines).name
-            self._send(to, {"t": "pull", "v": {SETTLED: self.copy.upto}, "at": self.clock()})
+            self._send(
+                to, {"t": "pull", "v": {COMMITTED_SET: self.learner.committed_number}, "at": self.clock()}
+            )
         super()._tick()
 
     def _hears_news(self, sender: str, news: dict[str, Any]) -> None:
-        if (upto := unpack_proposal_number(news["upto"])) > self.copy.upto:
-            self.catchup.told(sender, upto)
+        if (committed_number := unpack_proposal_number(news["upto"])) > self.learner.committed_number:
+            self.snapshot_transfer.told(sender, committed_number)
         else:
             self._based(news["at"], news["age"])
 
     def _take(self, taken: ReceivedRows) -> None:
-        take = self.copy.replace if taken.replaced else self.copy.fold
-        self._show(take(taken.upto, map(unpack_row, taken.rows)))
-        self.fleet.judge.tells(self.named, "shows the set", self.copy.items)
+        take = self.learner.replace if taken.replaced else self.learner.fold
+        self._show(take(taken.committed_number, map(unpack_row, taken.rows)))
+        self.fleet.judge.tells(self.named, "shows the set", self.learner.items)
         self._based(self.clock(), taken.age)
 
     def _based(self, asked_at: float, age: float | None) -> None:
         self.readiness.told(self.clock(), asked_at, age)
-        if not self.was_ready and self.readiness.ready(bool(self.copy.items)):
+        if not self.was_ready and self.readiness.ready(bool(self.learner.items)):
             self.was_ready = True
-            self.fleet.judge.tells(self.named, "is ready", self.copy.items)
+            self.fleet.judge.tells(self.named, "is ready", self.learner.items)
 
 
 class Machine(Party):
@@ -280,16 +289,16 @@
         fleet, world = self.fleet, self.world
         saved = self.disk.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
-        self._holds(acceptor.copy)
+        self._holds(acceptor.learner)
         draw = Chance(int(world.draw() * 2**32)).draw
         self.core = fleet.cores.replica(
             self.clock, self.named, draw, self._put, self._send, self._hears_itself, self._show
         )
         self.core.proposes_with = fleet.cores.proposer
         self.core.others = lambda: [each.name for each in fleet.machines if each is not self]
-        self.contact = fleet.cores.contact(self.name, int(draw() * 2**30))
-        self.replacement = fleet.cores.replacement(self.name, self.named, draw)
-        self.in_contact = False
+        self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
+        self.reconfiguration = fleet.cores.reconfiguration(self.name, self.named, draw)
+        self.in_quorum_contact = False
         self.core.begin(acceptor)
 
     def kill(self) -> None:
@@ -298,8 +307,8 @@
         self.disk.power_lost()
 
     def _put(self, writes: list, then: Callable[[], None]) -> None:
-        life = self.life
-        self.disk.put(writes, lambda: self.does(then) if life == self.life else None)
+        incarnation = self.incarnation
+        self.disk.put(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
 
     def _hears_itself(self, call: Callable[..., None], *told: Any) -> None:
         self.later(0.0, lambda: call(*told))
@@ -311,13 +320,13 @@
             self.fleet.judge.over(self.wiped)
             self.wiped = None
         now = self.clock()
-        if (asking := self.contact.ask(now, self._report())) is not None:
+        if (asking := self.quorum_contact.ask(now, self._report())) is not None:
             for each in self.fleet.machines:
                 if each is not self:
                     self._send(each.name, asking)
         self._stand()
         if self.ready:
-            self.fleet.judge.tells(self.named, "is ready", self.copy.items)
+            self.fleet.judge.tells(self.named, "is ready", self.learner.items)
         if self.fleet.plan.members_change:
             self._replace(now)
         super()._tick()
@@ -326,13 +335,13 @@
 
     @property
     def ready(self) -> bool:
-        return bool(self.copy.items) and self.core.fresh and self._current()
+        return bool(self.learner.items) and self.core.fresh and self._current()
 
     def _current(self) -> bool:
         if self.core is None or self.core.acceptor is None:
             return False
-        self.contact.held(self.core.acceptor.members, self.copy.upto)
-        return self.contact.current(self.clock())
+        self.quorum_contact.held(self.core.acceptor.members, self.learner.committed_number)
+        return self.quorum_contact.current(self.clock())
 
     def _report(self) -> Report:
         acceptor = self.core.acceptor
@@ -340,19 +349,19 @@
             self.name,
             acceptor.known and acceptor.voting,
             acceptor.epoch,
-            acceptor.copy.upto,
-            max(acceptor.accepted, acceptor.copy.upto),
+            acceptor.learner.committed_number,
+            max(acceptor.accepted, acceptor.learner.committed_number),
             self.name,
             self.leaving,
-            self.contact.hears(self.clock()),
+            self.quorum_contact.hears(self.clock()),
             acceptor.disk,
         )
 
     def _stand(self) -> None:
-        if (current := self._current()) != self.in_contact:
-            self.in_contact = current
+        if (current := self._current()) != self.in_quorum_contact:
+            self.in_quorum_contact = current
             if current:
-                self.exchange.dirty.add(SETTLED)
+                self.anti_entropy.dirty.add(COMMITTED_SET)
                 self._soon()
 
     def _tells(self, peer: str, source: str) -> bool:
@@ -365,36 +374,36 @@
         return isinstance(self.fleet.parties[to], Machine) or self._current()
 
     def _age(self) -> float | None:
-        return self.contact.age(self.clock()) if self._current() else None
+        return self.quorum_contact.age(self.clock()) if self._current() else None
 
     # Who the members are.
 
     def _view(self, now: float) -> ClusterView:
         acceptor = self.core.acceptor
-        reports = {name: (at, report) for name, (report, at) in self.contact.reports.items()}
+        reports = {name: (at, report) for name, (report, at) in self.quorum_contact.reports.items()}
         reports[self.name] = now, self._report()
-        self.contact.held(acceptor.members, self.copy.upto)
+        self.quorum_contact.held(acceptor.members, self.learner.committed_number)
         return ClusterView(
             self.name,
             acceptor.members,
-            self.copy.items.get((LEASE, MEMBERS)),
+            self.learner.items.get((LEASE, MEMBERS)),
             reports,
-            self.copy.upto,
+            self.learner.committed_number,
             self.fleet.plan.tolerate,
             0,
-            self.contact.age(now),
+            self.quorum_contact.age(now),
         )
 
     def _replace(self, now: float) -> None:
         view = self._view(now)
-        if self.leaving and self.replacement.may_go(now, view):
+        if self.leaving and self.reconfiguration.may_go(now, view):
             return self.fleet.faults.has_left(self)
-        if (items := self.replacement.step(now, view)) is None:
+        if (items := self.reconfiguration.step(now, view)) is None:
             return
 
         def told(outcome: bool | Failure) -> None:
             self.fleet.judge.acted(self.named, items, outcome)
-            self.replacement.told(self.clock(), outcome)
+            self.reconfiguration.told(self.clock(), outcome)
 
         self.core.ask(items, told)
 
@@ -405,21 +414,21 @@
         if kind in ("hello", "have", "pull", "news", "piece", "rows"):
             super().heard(sender, message)
             if kind == "hello" and isinstance(self.fleet.parties[sender], Machine):
-                self.contact.next_at = self.clock()
+                self.quorum_contact.next_at = self.clock()
                 self.core.reached(sender)
         elif kind == "contact":
-            self._send(sender, self.contact.answer(message, self._report()))
+            self._send(sender, self.quorum_contact.answer(message, self._report()))
         elif kind == "contacted":
-            self.contact.heard(self.clock(), sender, message)
+            self.quorum_contact.heard(self.clock(), sender, message)
             self._stand()
         else:
             self.core.heard(sender, message)
 
     def _noticed(self, at: tuple) -> None:
-        self.core.peer_settled(at)
+        self.core.peer_committed(at)
 
     def _take(self, taken: ReceivedRows) -> None:
-        self.core.learn(taken.upto, taken.rows, taken.replaced)
+        self.core.learn(taken.committed_number, taken.rows, taken.replaced)
 
     def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
@@ -428,4 +437,4 @@
 
     def theirs(self) -> dict[Key, Item]:
         """What a read tells."""
-        return {key: item.bare for key, item in self.copy.items.items() if item.kind in THEIRS}
+        return {key: item.bare for key, item in self.learner.items.items() if item.kind in THEIRS}
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -72,8 +72,8 @@
 class SettlesWhatItHolds(Acceptor):
     """Another's news of a settled ballot settles whatever was accepted here last."""
 
-    def settle(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
-        if at <= self.copy.upto or not self.delta:
+    def commit(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
+        if at <= self.learner.committed_number or not self.delta:
             return None
         return self.learn(at, [(item, at) for item in self.delta.values()])
 
@@ -113,8 +113,10 @@
     """Of two acceptances the older one is taken over."""
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
-        upto = max(unpack_proposal_number(each["s"]) for each in self.promises.values())
-        still_open = [each for each in self.promises.values() if unpack_proposal_number(each["acc"]) > upto]
+        committed_number = max(unpack_proposal_number(each["s"]) for each in self.promises.values())
+        still_open = [
+            each for each in self.promises.values() if unpack_proposal_number(each["acc"]) > committed_number
+        ]
         if still_open:
             first = min(still_open, key=lambda each: unpack_proposal_number(each["acc"]))
             told = {name: first[name] for name in ("acc", "delta")}
@@ -147,7 +149,7 @@
         if (
             message["t"] == "accepted"
             and self.value is not None
-            and unpack_proposal_number(message["b"]) == self.ballot
+            and unpack_proposal_number(message["b"]) == self.proposal_number
         ):
             out = ProposerOutput()
             self._chosen(now, out)
@@ -175,10 +177,10 @@
 class NeverTakesUp(Replica):
     """What a proposer that died has left is taken up by nobody; and a copy that lacks news asks for none."""
 
-    def peer_settled(self, at: ProposalNumber) -> None:
+    def peer_committed(self, at: ProposalNumber) -> None:
         pass
 
-    def learn(self, upto: ProposalNumber, rows: list, whole: bool = False) -> None:
+    def learn(self, committed_number: ProposalNumber, rows: list, whole: bool = False) -> None:
         pass
 
 
@@ -258,7 +260,7 @@
     """Nothing wrong: what one that enrols lacks does not fit the answer, and comes in pieces."""
 
     def rows(self, since: ProposalNumber) -> list | None:
-        return None if since == NONE and self.copy.upto > NONE else super().rows(since)
+        return None if since == NONE and self.learner.committed_number > NONE else super().rows(since)
 
 
 class VotesBeforeItHolds(InPieces):
@@ -293,15 +295,15 @@
 class ContactByOne(QuorumContact):
     """One answer is as good as a majority's."""
 
-    def held(self, members: MemberSet, upto: ProposalNumber) -> None:
+    def held(self, members: MemberSet, committed_number: ProposalNumber) -> None:
         named = {name for asking in self.askings for name in asking.answers}
-        super().held(MemberSet(members.epoch, tuple(named)[:1]) if named else members, upto)
+        super().held(MemberSet(members.epoch, tuple(named)[:1]) if named else members, committed_number)
 
 
 class ContactWithoutBallot(QuorumContact):
     """What the others have seen is not asked for."""
 
-    def held(self, members: MemberSet, upto: ProposalNumber) -> None:
+    def held(self, members: MemberSet, committed_number: ProposalNumber) -> None:
         super().held(members, (1 << 60, ""))
 
 
@@ -324,12 +326,12 @@
 
     def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
         if message.get("more"):
-            rows, upto, horizon = (
+            rows, committed_number, horizon = (
                 message["rows"],
                 unpack_proposal_number(message["upto"]),
                 unpack_proposal_number(message.get("horizon", NONE)),
             )
-            digest = chunk_digest(rows, self.cursor, upto, False, horizon)
+            digest = chunk_digest(rows, self.cursor, committed_number, False, horizon)
             message = {**message, "more": False, "digest": digest}
         return super().heard(now, peer, message)
 
@@ -381,11 +383,11 @@
     "changes of members at once": Cores(proposer=ChangesAtOnce),
     "votes before it holds all": Cores(acceptor=VotesBeforeItHolds),
     "any fence is taken": Cores(proposer=AnyFence),
-    "an age counts from the answer": Cores(contact=AgeFromTheAnswer),
-    "a piece is skipped": Cores(catchup=SkipsAPiece),
-    "shown before it is whole": Cores(catchup=ShowsPieces),
-    "one answer is contact": Cores(contact=ContactByOne),
-    "contact whatever others have seen": Cores(contact=ContactWithoutBallot),
-    "tells and is fresh from the start": Cores(contact=TellsAnyhow, replica=FreshAtOnce),
-    "ready by an old basis": Cores(contact=TellsAnyhow, readiness=ReadyByAnyBasis),
+    "an age counts from the answer": Cores(quorum_contact=AgeFromTheAnswer),
+    "a piece is skipped": Cores(snapshot_transfer=SkipsAPiece),
+    "shown before it is whole": Cores(snapshot_transfer=ShowsPieces),
+    "one answer is contact": Cores(quorum_contact=ContactByOne),
+    "contact whatever others have seen": Cores(quorum_contact=ContactWithoutBallot),
+    "tells and is fresh from the start": Cores(quorum_contact=TellsAnyhow, replica=FreshAtOnce),
+    "ready by an old basis": Cores(quorum_contact=TellsAnyhow, readiness=ReadyByAnyBasis),
 }
--- a/foxspread/mesh/simulation/operators.py
+++ b/foxspread/mesh/simulation/operators.py
@@ -76,7 +76,7 @@
         world.after(world.within(0.0005, 0.004), arrives)
         world.after(SILENCE_S, next_try)
 
-    def copy(self, items: tuple[Item, ...], machine: Machine) -> None:
+    def learner(self, items: tuple[Item, ...], machine: Machine) -> None:
         """A copy of an order, sent long ago, that this machine reads only now."""
 
         def told(outcome: bool | Failure, held: dict) -> None:
--- a/tests/mesh/control_api/test_handlers.py
+++ b/tests/mesh/control_api/test_handlers.py
@@ -38,9 +38,9 @@
 class Calls(OnLoop):
     def setUp(self):
         super().setUp()
-        self.lives, self.changes, self.known = InstanceTable(1.0), [], True
+        self.instances, self.changes, self.known = InstanceTable(1.0), [], True
         beats = InstancesResource(
-            self.loop.time, self.lives, lambda: self.changes.append(self.loop.now), self.spread
+            self.loop.time, self.instances, lambda: self.changes.append(self.loop.now), self.spread
         )
         self.desk = ControlApi(self.loop.time, {"Instances": beats})
 
@@ -78,7 +78,7 @@
         self.assertEqual([400], self.call(b"/api/Instances.Beat/", BEAT))
         drain = BEAT | {"state": DRAINING, "sequence": 7}
         self.assertEqual([], self.call(b"/api/Instances.Beat/i-1", drain, after=0.2))
-        self.assertEqual(DRAINING, self.lives.servers["i-1"].state)
+        self.assertEqual(DRAINING, self.instances.servers["i-1"].state)
         self.known = False
         self.assertEqual([503], self.call(b"/api/Instances.Beat/i-1", drain | {"sequence": 8}))
         self.assertEqual([200], self.call(b"/api/Instances.Leave/i-1"))
@@ -101,12 +101,12 @@
         # Guards: nothing invalid reaches the disk; the outcome goes back as it is; one without a disk reads
         # nothing and names another, with the whole path.
         for outcome, wanted in ((True, 200), (conflict("no"), 409), (outcome_unknown("later"), 503)):
-            keeper = Keeper(self.loop, outcome)
-            self.desk.resources["Config"] = ConfigurationResource(keeper, lambda: None)
+            replica_server = Keeper(self.loop, outcome)
+            self.desk.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
-            self.assertEqual(["s1", "r1"], [item.name for item in keeper.got[0]])
+            self.assertEqual(["s1", "r1"], [item.name for item in replica_server.got[0]])
             self.assertEqual([400], self.call(b"/api/Config.Patch", orjson.dumps(CALL)[:-1]))
-            self.assertEqual(1, len(keeper.got))
+            self.assertEqual(1, len(replica_server.got))
         for place, wanted in (("10.0.0.4:8080", 307), (None, 503)):
             self.desk.resources["Config"] = ConfigurationResource(None, lambda place=place: place)
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
@@ -118,8 +118,8 @@
     def test_orders_that_are_too_much(self):
         # Guards: each gets a clear refusal, nothing of it is submitted, and none is read whole that is too
         # large: by its length, and by what comes of one without a length.
-        keeper = Keeper(self.loop, True)
-        self.desk.resources["Config"] = ConfigurationResource(keeper, lambda: None)
+        replica_server = Keeper(self.loop, True)
+        self.desk.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
         for size in (ORDER_MOST + 1, 64 * 1024 * 1024):
             head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % size
             self.assertEqual([413], self.sent(head + b" " * 1000))
@@ -142,7 +142,7 @@
         endless = b'{"lodge":{"limits":{"edition":"r1","idle_s":1e999}}}'
         for body in (b"[" * 100_000, b'{"lodge":' * 5000, endless):
             self.assertEqual([400], self.call(b"/api/Config.Patch", body), body[:20])
-        self.assertEqual([], keeper.got)
+        self.assertEqual([], replica_server.got)
 
     def sent(self, data):
         line = Serving(self.desk)
@@ -155,7 +155,7 @@
     def test_a_process_that_stood_still_takes_no_order_for_new(self):
         # Guards: an order read on waking may be a copy that its operator has long sent elsewhere; also one
         # that was being read in slices meanwhile. Each is asked at the act, twice.
-        keeper = Keeper(self.loop, True)
+        replica_server = Keeper(self.loop, True)
         for answers, wanted, got in (
             ([True], 503, 0),
             ([False, True], 503, 0),
@@ -163,13 +163,13 @@
         ):
             told = iter(answers)
             self.desk.resources["Config"] = ConfigurationResource(
-                keeper, lambda: None, lambda told=told: next(told)
+                replica_server, lambda: None, lambda told=told: next(told)
             )
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
-            self.assertEqual(got, len(keeper.got))
-        self.desk.resources["Config"] = ConfigurationResource(keeper, lambda: None, lambda: True)
+            self.assertEqual(got, len(replica_server.got))
+        self.desk.resources["Config"] = ConfigurationResource(replica_server, lambda: None, lambda: True)
         self.assertEqual([503], self.call(b"/api/Config.Get", method=b"GET"))
-        self.assertEqual(1, len(keeper.got))
+        self.assertEqual(1, len(replica_server.got))
 
     def test_a_call_that_fails(self):
         # Guards: an error of ours must not leave the caller without an answer; it is told to go elsewhere.
--- a/tests/mesh/dataplane/test_caller.py
+++ b/tests/mesh/dataplane/test_caller.py
@@ -191,7 +191,7 @@
         for after, wanted in ((0.1, "i-b"), (DRAIN_PART * BOUNDS["drain_s"] + 0.1, "i-c")):
             site = Site(self.loop, others=("b",), mail_class="unsafe")
             told = {"service": "s1", "address": "b:80", "berths": 4, "state": "draining", "sequence": 2}
-            site.lives["b"].beat(self.loop.now, "i-b", told)
+            site.instances["b"].beat(self.loop.now, "i-b", told)
             self.loop.advance(after)
             transport = site.ask(PAY) if after < 1 else None
             if transport is None:
@@ -206,7 +206,7 @@
             site = Site(self.loop, others=("b",), beside=beside, mail_class="unsafe")
             name = "me" if beside else "b"
             told = {"service": "s1", "address": "b:80", "berths": 4, "state": "draining", "sequence": 2}
-            site.lives[name].beat(self.loop.now, f"i-{name}", told)
+            site.instances[name].beat(self.loop.now, f"i-{name}", told)
             self.loop.advance(DRAIN_PART * BOUNDS["drain_s"] - 0.1)
             self.loop.places[name, 80] = Late(0.2, site.a_server)
             transport = site.ask(PAY)
@@ -216,9 +216,9 @@
 
     def with_another(self, site):
         """`c` is known too, and more laden than `b`."""
-        site.lives["c"] = site.lives["b"].__class__(1.0, "z")
+        site.instances["c"] = site.instances["b"].__class__(1.0, "z")
         site.hops["c"] = type(site.hops["b"])(
-            self.loop.time, type(site.hops["b"].core)(site.lives["c"], ("c", 80), 2.0), site.app_lanes[1]
+            self.loop.time, type(site.hops["b"].core)(site.instances["c"], ("c", 80), 2.0), site.app_lanes[1]
         )
         site.desks["c"] = type(site.desks["b"])(self.loop.time, site.hops["c"])
         self.loop.places["c", 80], self.loop.places["c", 70] = site.a_server, site.a_sidecar("c")
@@ -363,8 +363,8 @@
         # lay there goes to no server of it, and comes back as one that has not run.
         site = Site(self.loop, others=("b",), mail_class="unsafe")
         told = {"service": "s1", "address": "b:80", "berths": 4, "state": "draining", "sequence": 2}
-        site.lives["b"].beat(self.loop.now, "i-b", told)
-        site.lives["b"].slept(5.0)
+        site.instances["b"].beat(self.loop.now, "i-b", told)
+        site.instances["b"].slept(5.0)
         self.loop.now += 5.0
         transport = site.ask(PAY)
         self.assertEqual([[503], []], [statuses(transport.written), site.seen])
--- a/tests/mesh/dataplane/test_lasthop.py
+++ b/tests/mesh/dataplane/test_lasthop.py
@@ -11,13 +11,13 @@
 class LetsThrough(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.lives = InstanceTable(1.0)
-        self.hop = LastHop(self.lives, None, DRAIN_S)
+        self.instances = InstanceTable(1.0)
+        self.hop = LastHop(self.instances, None, DRAIN_S)
         self.tell(0.0, READY, 1)
 
     def tell(self, now, state, sequence):
         told = {"service": "s1", "address": "a:80", "berths": 4, "state": state, "sequence": sequence}
-        self.lives.beat(now, "i", told)
+        self.instances.beat(now, "i", told)
 
     def why(self, now, id="i", left=1.0, aim=0.5):
         """Why not; None where it is let through, and ends at once."""
@@ -40,11 +40,11 @@
     def test_only_the_right_life(self):
         # Guards: an address may belong to another server by now; one that has left or is silent is gone.
         self.assertEqual(["gone", None], [self.why(0.0, "other"), self.why(0.0)])
-        self.lives.sweep(5.0)
+        self.instances.sweep(5.0)
         self.assertEqual("gone", self.why(5.0))
         self.tell(6.0, READY, 2)
         self.assertIsNone(self.why(6.0))
-        self.lives.leave(6.0, "i")
+        self.instances.leave(6.0, "i")
         self.assertEqual("gone", self.why(6.0))
         self.hop.sweep()
         self.assertEqual({}, self.hop.holding)
--- a/tests/mesh/gossip/test_connection_manager.py
+++ b/tests/mesh/gossip/test_connection_manager.py
@@ -27,30 +27,30 @@
 class Play:
     """Calls to `live` come up, to `refuse` are refused, all others are silent, for `CALL_S`."""
 
-    def __init__(self, keeps=False, own=at(200), seeds=(), members=(), live=(), refuse=(), seed=1):
+    def __init__(self, has_storage=False, own=at(200), seeds=(), members=(), live=(), refuse=(), seed=1):
         self.now, self.live, self.refuse, self.made = 0.0, set(live), set(refuse), []
         self.silent, self.most_at_once = [], 0
         self.cut = set()  # whose contact with a majority is lost
-        self.dialling = ConnectionManager(0.0, own, keeps, seeds, random.Random(seed).random)
-        self.dialling.agreed(0.0, members)
+        self.connection_manager = ConnectionManager(0.0, own, has_storage, seeds, random.Random(seed).random)
+        self.connection_manager.agreed(0.0, members)
 
     def step(self, seconds=0.1, times=1):
         for _ in range(times):
             self.now += seconds
             for at, place in [each for each in self.silent if self.now >= each[0] + CALL_S]:
                 self.silent.remove((at, place))
-                self.dialling.vain(self.now, place, False)
-            for place in self.dialling.calls(self.now):
+                self.connection_manager.vain(self.now, place, False)
+            for place in self.connection_manager.calls(self.now):
                 self.made.append((self.now, place))
                 if place in self.live:
-                    self.dialling.up(self.now, place, str(place), place not in self.cut)
+                    self.connection_manager.up(self.now, place, str(place), place not in self.cut)
                 elif place in self.refuse:
-                    self.dialling.vain(self.now, place, True)
+                    self.connection_manager.vain(self.now, place, True)
                 else:
                     self.silent.append((self.now, place))
             self.most_at_once = max(self.most_at_once, len(self.silent))
-            for name in self.dialling.surplus(self.now):
-                self.dialling.down(self.now, name)
+            for name in self.connection_manager.surplus(self.now):
+                self.connection_manager.down(self.now, name)
 
     def calls_of(self, place):
         return [now for now, each in self.made if each == place]
@@ -63,29 +63,29 @@
         for seed in range(20):
             play = Play(seeds=dead, live=[at(8), at(9)], refuse=dead[:4], seed=seed)
             play.step(times=20)
-            play.dialling.told(play.now, at(8))
-            play.dialling.told(play.now, at(9))
+            play.connection_manager.told(play.now, at(8))
+            play.connection_manager.told(play.now, at(9))
             play.step(times=5)
-            self.assertEqual({at(8), at(9)}, set(play.dialling.live))
+            self.assertEqual({at(8), at(9)}, set(play.connection_manager.live))
             # Nor must many that say nothing, each for the time of a call.
             play = Play(live=[at(8), at(9)], seed=seed)
             for number in range(20, 60):
-                play.dialling.told(0.0, at(number))
+                play.connection_manager.told(0.0, at(number))
             play.step(times=80)
-            play.dialling.told(play.now, at(8))
-            play.dialling.told(play.now, at(9))
+            play.connection_manager.told(play.now, at(8))
+            play.connection_manager.told(play.now, at(9))
             play.step(times=int(CALL_S / 0.1) + 1)
-            self.assertEqual({at(8), at(9)}, set(play.dialling.live))
+            self.assertEqual({at(8), at(9)}, set(play.connection_manager.live))
 
     def test_a_sidecar_keeps_a_few_and_the_fleet_is_spread(self):
         places, counts = [at(n) for n in range(1, 23)], {}
         for seed in range(60):
             play = Play(seeds=places[:3], live=places, seed=seed)
             for each in places:
-                play.dialling.told(0.0, each)
+                play.connection_manager.told(0.0, each)
             play.step(times=30)
-            self.assertEqual(LINKS_MOST, len(play.dialling.live))
-            for each in play.dialling.live:
+            self.assertEqual(LINKS_MOST, len(play.connection_manager.live))
+            for each in play.connection_manager.live:
                 counts[each] = counts.get(each, 0) + 1
         self.assertEqual(22, len(counts))
         self.assertTrue(max(counts.values()) < 60 * LINKS_MOST / 22 * 2.2, counts)
@@ -95,17 +95,17 @@
         others, members = [at(n) for n in range(1, 6)], [at(n) for n in range(11, 14)]
         play = Play(seeds=others, live=[*others, *members])
         play.step(times=5)
-        self.assertEqual(set(others), set(play.dialling.live))
-        play.dialling.agreed(play.now, members)
+        self.assertEqual(set(others), set(play.connection_manager.live))
+        play.connection_manager.agreed(play.now, members)
         play.step(times=100)
-        self.assertTrue(set(members) <= set(play.dialling.live))
-        self.assertEqual(LINKS_MOST, len(play.dialling.live))
-        before = set(play.dialling.live)
+        self.assertTrue(set(members) <= set(play.connection_manager.live))
+        self.assertEqual(LINKS_MOST, len(play.connection_manager.live))
+        before = set(play.connection_manager.live)
         play.step(times=100)
-        self.assertEqual(before, set(play.dialling.live))  # and then nothing changes any more
-        for each in play.dialling.live:
-            play.dialling.contact(str(each), each != members[0])
-        self.assertEqual(4, len(play.dialling.in_contact()))
+        self.assertEqual(before, set(play.connection_manager.live))  # and then nothing changes any more
+        for each in play.connection_manager.live:
+            play.connection_manager.contact(str(each), each != members[0])
+        self.assertEqual(4, len(play.connection_manager.in_quorum_contact()))
 
     def test_with_none_in_contact_others_are_tried_ever_more_rarely(self):
         # Guards: five links, all to keepers that are cut off, must not keep a sidecar from one that is not;
@@ -114,17 +114,19 @@
         for cut in (places[:10], places):
             play = Play(seeds=places[:3], members=places[:5], live=places)
             for each in places:
-                play.dialling.told(0.0, each)
+                play.connection_manager.told(0.0, each)
             play.cut = set(cut)
             play.step(times=2000)
-            self.assertEqual([str(each) for each in places if each not in cut], play.dialling.in_contact())
+            self.assertEqual(
+                [str(each) for each in places if each not in cut], play.connection_manager.in_quorum_contact()
+            )
             late = [now for now, _ in play.made if now > 100.0]
             self.assertTrue(len(late) <= 4, late)
 
     def test_calls_in_vain_come_ever_more_rarely_with_a_cap_and_jitter(self):
         seed, other = at(1), at(2)
         play = Play(seeds=[seed], refuse=[seed])
-        play.dialling.told(0.0, other)
+        play.connection_manager.told(0.0, other)
         play.step(times=int(0.9 * FORGET_S / 0.1))
         for place, most, few in ((seed, PAUSE_MOST_S, 30), (other, PAUSE_MOST_REST_S, 18)):
             times = play.calls_of(place)
@@ -133,23 +135,23 @@
             self.assertTrue(max(pauses) <= CALL_S + 1.5 * most + 0.21, (place, max(pauses)))
             self.assertTrue(len({round(each, 1) for each in pauses[-5:]}) > 1, pauses)
         # One that is back is reached within the longest pause, by keepers sooner than by sidecars.
-        for keeps, most in ((False, PAUSE_MOST_S), (True, PAUSE_MOST_KEEPERS_S)):
-            play = Play(keeps, at(0), seeds=[seed])
+        for has_storage, most in ((False, PAUSE_MOST_S), (True, PAUSE_MOST_KEEPERS_S)):
+            play = Play(has_storage, at(0), seeds=[seed])
             play.step(times=200)
             play.live.add(seed)
             back = play.now
             play.step(times=40)
             called = [t for t in play.calls_of(seed) if t > back]
             self.assertEqual(1, len(called))
-            self.assertTrue(called[0] <= back + CALL_S + 1.5 * most + 0.11, (keeps, called[0] - back))
+            self.assertTrue(called[0] <= back + CALL_S + 1.5 * most + 0.11, (has_storage, called[0] - back))
 
     def test_whoever_does_not_answer_is_forgotten_but_seeds_and_members_are_not(self):
         play = Play(seeds=[at(1)], members=[at(2)])
         for number in range(3, 3 + 2 * OTHERS_MOST):
-            play.dialling.told(0.0, at(number))
-        self.assertEqual(2 + OTHERS_MOST, len(play.dialling.of))
+            play.connection_manager.told(0.0, at(number))
+        self.assertEqual(2 + OTHERS_MOST, len(play.connection_manager.of))
         play.step(times=int(2 * FORGET_S / 0.1))
-        self.assertEqual({at(1), at(2)}, set(play.dialling.of))
+        self.assertEqual({at(1), at(2)}, set(play.connection_manager.of))
         self.assertTrue(play.most_at_once <= CALLS_MOST)
         play = Play(True, seeds=[at(n) for n in range(1, 23)])
         play.step(times=100)
@@ -168,9 +170,9 @@
         self.assertEqual({at(1), at(2)}, {place for _, place in play.made})
         play = Play(True, at(9), seeds, live=[at(n) for n in range(1, 23)])
         for number in range(1, 23):
-            play.dialling.told(0.0, at(number))
+            play.connection_manager.told(0.0, at(number))
         play.step(times=30)
-        self.assertEqual(21, len(play.dialling.live))
+        self.assertEqual(21, len(play.connection_manager.live))
 
     def test_neighbours_are_leant_on_only_where_no_keeper_is_in_contact(self):
         leaning = NeighbourFallback(0.0)
--- a/tests/mesh/helpers.py
+++ b/tests/mesh/helpers.py
@@ -356,15 +356,15 @@
         self.loop, self.records, self.chance = loop, EndpointRecords(), Chance(3)
         self.upstreams, self.table = Upstreams(self.records), RouteTable()
         self.acts, self.seen, self.first_contact = [], [], []
-        self.knows, self.lives, self.hops, self.desks = True, {}, {}, {}
+        self.knows, self.instances, self.hops, self.desks = True, {}, {}, {}
         clock = loop.time
         self.table.put(route(target_s=aim, **route_told))
         self.app_lanes = []
         for name in ("me", *others):
-            lives = self.lives[name] = InstanceTable(1.0, "z")
+            instances = self.instances[name] = InstanceTable(1.0, "z")
             lanes = Lanes(clock, 6.0)
             self.app_lanes.append(lanes)
-            self.hops[name] = Hop(clock, LastHop(lives, (name, 80), BOUNDS["drain_s"]), lanes)
+            self.hops[name] = Hop(clock, LastHop(instances, (name, 80), BOUNDS["drain_s"]), lanes)
             loop.places[name, 80] = self.a_server
             if name != "me":
                 self.desks[name] = HopDesk(clock, self.hops[name])
@@ -380,11 +380,11 @@
     def beat(self, name, sequence=1, state="ready", id=None, berths=4):
         id = id or f"i-{name}"
         told = {"service": "s1", "address": f"{name}:80", "berths": berths}
-        self.lives[name].beat(self.loop.now, id, told | {"state": state, "sequence": sequence})
+        self.instances[name].beat(self.loop.now, id, told | {"state": state, "sequence": sequence})
         self.publish(name, sequence)
 
     def publish(self, name, number):
-        rows = tuple(unpack_instance(row) for row in self.lives[name].rows(self.loop.now))
+        rows = tuple(unpack_instance(row) for row in self.instances[name].rows(self.loop.now))
         self.records.take(self.loop.now, EndpointRecord(name, (1, number), "z", "up", (name, 70), rows))
         self.upstreams.fold(self.loop.now, name)
 
--- a/tests/mesh/hollow/test_experiment.py
+++ b/tests/mesh/hollow/test_experiment.py
@@ -20,12 +20,12 @@
     def test_each_has_an_address_of_its_own_and_all_zones_have_some(self) -> None:
         # Guards: two at one address would be one; figures by zone want all zones filled alike.
         shape = Shape(a_process=200)
-        plot = keepers(shape, pathlib.Path("/nowhere"))
-        parts = sidecars(shape, plot, 1000)
+        layout = keepers(shape, pathlib.Path("/nowhere"))
+        parts = sidecars(shape, layout, 1000)
         self.assertEqual([200] * 5, [len(part) for part in parts])
         told = [settings_from(row) for part in parts for row in part.values()]
         self.assertTrue(all(isinstance(each, Settings) for each in told))
-        self.assertEqual(1000 + 3, len({each.ip for each in told} | {each.ip for each in plot.machines}))
+        self.assertEqual(1000 + 3, len({each.ip for each in told} | {each.ip for each in layout.machines}))
         counts = [sum(each.zone == zone(shape, n) for each in told) for n in range(shape.zones)]
         self.assertEqual((13, 1000), (len(counts), sum(counts)))
         self.assertIn(max(counts) - min(counts), (0, 1))
--- a/tests/mesh/hollow/test_traffic_meter.py
+++ b/tests/mesh/hollow/test_traffic_meter.py
@@ -35,23 +35,23 @@
         super().setUp()
         self.meter, self.heard = Meter(), []
         self.metered = MeteredLoop(None, ("127.0.0.1", 1), self.meter)
-        link = PeerConnection(
+        connection = PeerConnection(
             lambda: 0.0, lambda each: None, lambda each, m: self.heard.append(m), lambda each: None
         )
-        self.link, self.transport = self.metered._counted(link), FakeTransport()
-        self.link.connection_made(self.transport)
+        self.connection, self.transport = self.metered._counted(connection), FakeTransport()
+        self.connection.connection_made(self.transport)
 
     def test_every_byte_both_ways(self) -> None:
         # Guards: a figure on paper is no better than its count: pieces, several messages in one read, beats.
-        self.link.send({"t": "have", "v": {"x": [1, 2]}})
-        self.link.send({"t": "beat"})
+        self.connection.send({"t": "have", "v": {"x": [1, 2]}})
+        self.connection.send({"t": "beat"})
         self.assertEqual(sum(map(len, self.transport.written)), self.meter.sent)
         self.assertEqual({"have", "beat"}, set(self.meter.sent_by_kind))
         self.assertEqual((2, self.meter.sent), (self.meter.writes, sum(self.meter.sent_by_kind.values())))
         news, have, beat = (encode({"t": t, "v": "x" * 60}) for t in ("news", "have", "beat"))
         beat = encode({"t": "beat"})
         for data in (news[:40], news[40:] + have, beat, have):
-            self.link.data_received(data)
+            self.connection.data_received(data)
         self.assertEqual(["news", "have", "have"], [each["t"] for each in self.heard])
         counted = {"have+news": len(news + have), "beat": len(beat), "have": len(have)}
         self.assertEqual(counted, dict(self.meter.heard_by_kind))
@@ -59,7 +59,7 @@
         self.assertEqual(2, self.meter.messages["heard have"])
 
     def test_sums(self) -> None:
-        self.link.send({"t": "beat"})
+        self.connection.send({"t": "beat"})
         whole = Meter(sent=5)
         whole.add(self.meter)
         whole.add(self.meter)
@@ -69,7 +69,7 @@
         # Guards: a restart is one only if nothing of the earlier life goes on.
         self.metered.close()
         self.assertTrue(self.transport.aborted)
-        self.link.connection_lost(None)
+        self.connection.connection_lost(None)
         self.assertEqual(set(), self.metered.transports)
 
 
@@ -100,10 +100,10 @@
             loop, settings = asyncio.get_running_loop(), self.settings()
             hollow = Hollow(loop, settings, lambda what, at: marks.append(what))
             versions = []
-            for life in (1, 2):
+            for incarnation in (1, 2):
                 hollow.start()
                 async with asyncio.timeout(20.0):
-                    while f"hollow-1-{life}@8" not in marks:
+                    while f"hollow-1-{incarnation}@8" not in marks:
                         await asyncio.sleep(0)
                 _, writer = await asyncio.open_connection(*settings.inner)
                 writer.close()
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -32,12 +32,12 @@
         self.begin()
 
     def begin(self):
-        self.lives = InstanceTable(1.0, "z")
-        self.hop = LastHop(self.lives, ("127.0.0.1", 8147), DRAIN_S)
+        self.instances = InstanceTable(1.0, "z")
+        self.hop = LastHop(self.instances, ("127.0.0.1", 8147), DRAIN_S)
 
     def beat(self, now, state, sequence):
         told = {"service": "s", "address": "10.0.0.9:8080", "state": state, "sequence": sequence, "berths": 9}
-        return self.lives.beat(now, "i", told)
+        return self.instances.beat(now, "i", told)
 
     def passes(self, now):
         return not isinstance(self.hop.admit(now, "i", 1.0, Terms()), Failure)
@@ -72,12 +72,12 @@
         self.assertFalse(self.passes(4.0))
         self.beat(4.5, READY, 4)
         self.assertFalse(self.passes(5.0))
-        self.lives.leave(5.0, "i")
+        self.instances.leave(5.0, "i")
         self.beat(5.5, READY, 5)
         self.assertFalse(self.passes(6.0))
 
     def test_a_process_that_stood_still_finds_the_drain_over(self):
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 2)
-        self.lives.slept(20.0)
+        self.instances.slept(20.0)
         self.assertFalse(self.passes(21.5))
