--- a/tests/mesh/replication/make_stored_data.py
+++ b/tests/mesh/replication/make_stored_data.py
@@ -116,14 +116,14 @@
                 voter.replica.tick()
             self.run()
 
-    def settle(self, proposer: str, *items: Item) -> Any:
+    def commit(self, proposer: str, *items: Item) -> Any:
         """The outcome of a call; the others are told that it is settled."""
         told: list = []
         replica = self.voters[proposer].replica
         replica.ask(list(items), told.append)
         self.run()
         for voter in self.voters.values():
-            voter.replica.peer_settled(replica.acceptor.copy.upto)
+            voter.replica.peer_committed(replica.acceptor.learner.committed_number)
         self.run()
         return told[0]
 
@@ -137,13 +137,13 @@
     for name in SEEDS:
         network.voters[name] = Voter(network, name, True)
     network.wait(1.0)
-    must(network.settle("a", *(service(f"s{number}") for number in range(1, 6))))
-    must(network.settle("b", *(route(f"r{number}", f"s{number}") for number in range(1, 5))))
-    must(network.settle("c", Item(LIMITS, LIMITS, 1, {"requests": 400, "share": 0.125, "name": "größte"})))
-    must(network.settle("a", route("r1", "s2", 2), service("s1", 2, 7)))
-    must(network.settle("a", Item(ROUTE, "r4", 2, None)))
-    must(network.settle("b", Item(LEASE, MEMBERS, 1, {"holder": "a", "life": "a1"})))
-    refused = network.settle("b", route("r9", "s-unknown"))  # again in test_stored_data.py
+    must(network.commit("a", *(service(f"s{number}") for number in range(1, 6))))
+    must(network.commit("b", *(route(f"r{number}", f"s{number}") for number in range(1, 5))))
+    must(network.commit("c", Item(LIMITS, LIMITS, 1, {"requests": 400, "share": 0.125, "name": "größte"})))
+    must(network.commit("a", route("r1", "s2", 2), service("s1", 2, 7)))
+    must(network.commit("a", Item(ROUTE, "r4", 2, None)))
+    must(network.commit("b", Item(LEASE, MEMBERS, 1, {"holder": "a", "life": "a1"})))
+    refused = network.commit("b", route("r9", "s-unknown"))  # again in test_stored_data.py
     assert refused is not True, refused
     network.voters.pop("c").close()
     shutil.rmtree(network.root / "c")
@@ -161,11 +161,11 @@
     members = network.voters["a"].replica.acceptor.members
     disks = network.voters["a"].replica.acceptor.disks_known
     lease = Item(LEASE, MEMBERS, 2, {"holder": "b", "life": "b5"})
-    must(network.settle("b", lease, membership_change(members, [*members.of, "d"], disks)))
+    must(network.commit("b", lease, membership_change(members, [*members.of, "d"], disks)))
     # r4, dropped before this ballot, is forgotten; s5, dropped with it, stays known as dropped.
-    horizon = list(network.voters["c"].replica.acceptor.copy.upto)
+    horizon = list(network.voters["c"].replica.acceptor.learner.committed_number)
     forget = Item(KEPT, "dropped", 1, {"floor": 2, "at": horizon})
-    must(network.settle("c", route("r2", "s3", 2), Item(SERVICE, "s5", 2, None), forget))
+    must(network.commit("c", route("r2", "s3", 2), Item(SERVICE, "s5", 2, None), forget))
     # A value that all have accepted and nobody knows to be settled.
     network.cut = lambda message: message["t"] == "accepted"
     network.voters["a"].replica.ask([service("s6", 3)], lambda told: None)
@@ -180,21 +180,22 @@
 def check_durable(found: Outcomes, voter: Voter) -> None:
     """What was read while the voter ran is what a log cut off there reads as, after one start more."""
     for size, saved in voter.durable:
-        saved.boots += 1
+        saved.start_count += 1
         assert found.in_order[found.number_at(size)] == as_json(saved, voter.name), (voter.name, size)
 
 
 def expectation(folder: pathlib.Path, voter: Voter) -> dict[str, Any]:
-    found = Outcomes(folder, lambda copy: outcome(copy, voter.name))
+    found = Outcomes(folder, lambda learner: outcome(learner, voter.name))
     check_durable(found, voter)
     print(voter.name, "transactions", len(found.ends), "checked while running", len(voter.durable))
     return {
-        "whole": found.outcome(lambda copy: None),
-        "meaning": Outcomes.read_copy(folder, lambda copy: meaning(copy, voter.name)),
+        "whole": found.outcome(lambda learner: None),
+        "meaning": Outcomes.read_copy(folder, lambda learner: meaning(learner, voter.name)),
         "cuts": found.cuts(),
         "changed_bytes": found.changed_bytes(),
         "damages": [
-            {"kind": kind, "state": found.state(lambda copy: damaged(copy, kind), 0)} for kind in DAMAGES
+            {"kind": kind, "state": found.state(lambda learner: damaged(learner, kind), 0)}
+            for kind in DAMAGES
         ],
         "states": found.states,
     }
--- a/tests/mesh/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -71,7 +71,7 @@
         heard = proposer.heard(0.0, "b", ahead.prepare(out.sends[0][1])[1])
         heard.sends += proposer.heard(0.0, "c", self.holding("c", 1).prepare(out.sends[0][1])[1]).sends
         self.assertEqual(([], None), ([m for _, m in heard.sends if m["t"] == "accept"], proposer.value))
-        behind.learn(ahead.copy.upto, ahead.copy.since((0, "")))
+        behind.learn(ahead.learner.committed_number, ahead.learner.since((0, "")))
         again = proposer.tick(5.0)
         told = [each.prepare(again.sends[0][1])[1] for each in (ahead, behind)]
         sent = [proposer.heard(5.0, me, each).sends for me, each in zip("ba", told)][-1]
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -141,7 +141,7 @@
         wipe(table, "c", "ab")
         begin(table, "b", above=6)
         ask(table, "b", "c")
-        self.assertEqual((None, 9), (table.proposers["b"].ballot, table.acceptors["c"].promised[0]))
+        self.assertEqual((None, 9), (table.proposers["b"].proposal_number, table.acceptors["c"].promised[0]))
 
     def test_an_older_identity_that_comes_late_does_not_shut_out_the_newer(self) -> None:
         # Guards against a machine that is wiped twice and is never heard again by one it asked meanwhile.
@@ -180,8 +180,8 @@
         table.passed("b", "c", "accept", newest=True)
         answer(table, "c", "b")  # behind
         put(table, "b", "c")
-        self.assertEqual(table.acceptors["b"].copy.items, read_from([table.acceptors["c"]]))
-        self.assertEqual(3, len(table.acceptors["c"].copy.items) + len(table.acceptors["c"].delta))
+        self.assertEqual(table.acceptors["b"].learner.items, read_from([table.acceptors["c"]]))
+        self.assertEqual(3, len(table.acceptors["c"].learner.items) + len(table.acceptors["c"].delta))
 
 
 class Outcomes(TestCase):
@@ -222,7 +222,7 @@
                     out = proposer.heard(0.0, sender, message)
                     done += out.done
                     waiting += [("c", *each) for each in out.sends]
-            (_, outcome), held = done[0], acceptors["c"].copy.items.get(item.key)
+            (_, outcome), held = done[0], acceptors["c"].learner.items.get(item.key)
             self.assertEqual(status, outcome.status if isinstance(outcome, Failure) else None, name)
             if status is not None:
                 self.assertNotEqual(item, held, name)
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -38,9 +38,16 @@
         self.least = 3
 
     def view(self, name: str, age: float | None = 0.1) -> r.ClusterView:
-        upto = (self.members.epoch, "+")
+        committed_number = (self.members.epoch, "+")
         return r.ClusterView(
-            name, self.members, self.lease, dict(self.reports), upto, self.machines, self.zones, age
+            name,
+            self.members,
+            self.lease,
+            dict(self.reports),
+            committed_number,
+            self.machines,
+            self.zones,
+            age,
         )
 
     def tick(self, stay: str = "") -> None:
@@ -51,9 +58,11 @@
         hears = tuple(sorted(n for n, at in self.heard.items() if self.now - at <= 1.0))
         for name in sorted(self.up):
             epoch = self.behind.get(name, self.members.epoch)
-            upto = (epoch, "" if name in self.lags else "+")
+            committed_number = (epoch, "" if name in self.lags else "+")
             heard = tuple(each for each in hears if name[0] + each[0] not in self.deaf)
-            told = Report(name, name not in self.mute, epoch, upto, upto, name[1:], hears=heard)
+            told = Report(
+                name, name not in self.mute, epoch, committed_number, committed_number, name[1:], hears=heard
+            )
             self.reports[name] = self.now, replace(told, leaving=name in self.leaving)
         for name in sorted(self.up - set(stay.split())):
             if (items := self.cores[name].step(self.now, self.view(name))) is not None:
@@ -161,8 +170,8 @@
     def test_seeds_of_one_zone_are_spread(self) -> None:
         field = Field("a1 b1 c1 d2 e3").run(12)
         self.assertEqual({"1", "2", "3"}, {name[1] for name in field.members.of})
-        settled = len(field.log)
-        self.assertEqual((3, settled), (len(field.members.of), len(field.run(60).log)))
+        committed = len(field.log)
+        self.assertEqual((3, committed), (len(field.members.of), len(field.run(60).log)))
 
 
 # machines, zones to be borne, zones there: members
@@ -247,9 +256,9 @@
 class Wiring(TestCase):
     def test_what_a_node_hands_in_and_where_a_call_goes(self) -> None:
         # The reports of others as contact has them, this one's own as of now, the lease as settled.
-        copy, put = Learner(), []
+        learner, put = Learner(), []
         held = Item(LEASE, "members", 4, {"holder": "c3", "life": "c3+1"})
-        copy.fold((7, "c"), [(held, (7, "c"))])
+        learner.fold((7, "c"), [(held, (7, "c"))])
         told = {n: Report(n, True, 2, (7, "c"), (7, "c"), n[1:], hears=("a1", "c3", "d1")) for n in HEARD}
         told["d1"] = replace(told["d1"], zone="2")
         heard = {name: (told[name], 10.0) for name in ("c3", "d1")}
@@ -257,7 +266,7 @@
         for tick in range(60):
             now = 10.0 + tick * TICK_S
             heard = {name: (report, now) for name, (report, _) in heard.items()}
-            view = r.ClusterView.of(now, told["a1"], members, copy, heard, 0.0, 1, 0)
+            view = r.ClusterView.of(now, told["a1"], members, learner, heard, 0.0, 1, 0)
             core.tend(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
         self.assertEqual(1, len(put))  # one under way at the most
--- a/tests/mesh/replication/test_snapshot_transfer.py
+++ b/tests/mesh/replication/test_snapshot_transfer.py
@@ -17,7 +17,7 @@
     ReceivedRows,
 )
 from foxspread.mesh.replication.learner import NONE, Learner, unpack_offset, unpack_row, end_of_proposal
-from tests.mesh.replication.test_learner import at, dropped, kept_dropped, names, service, settled
+from tests.mesh.replication.test_learner import at, dropped, kept_dropped, names, service, committed
 
 CHANGES = [
     [service("a", 1), service("b", 1)],
@@ -38,11 +38,11 @@
 ]
 
 
-def upto(number: int) -> Learner:
-    return settled(*((place + 1, items) for place, items in enumerate(CHANGES[:number])))
+def committed_number(number: int) -> Learner:
+    return committed(*((place + 1, items) for place, items in enumerate(CHANGES[:number])))
 
 
-COPIES = [upto(number) for number in range(len(CHANGES) + 1)]
+COPIES = [committed_number(number) for number in range(len(CHANGES) + 1)]
 
 
 def through(message: Message) -> Message:
@@ -50,40 +50,42 @@
     return orjson.loads(orjson.dumps(message))
 
 
-def answered(copy: Learner, message: Message, age: float | None = 0.0, most: int = 1) -> Message:
+def answered(learner: Learner, message: Message, age: float | None = 0.0, most: int = 1) -> Message:
     """With `most` bytes a piece."""
-    small = Small(copy, most)
+    small = Small(learner, most)
     return through(SnapshotTransfer.answer(small, through(message), age, True))
 
 
 class Small:
     """A copy that tells in small pieces."""
 
-    def __init__(self, copy: Learner, most: int) -> None:
-        self.copy, self.most = copy, most
+    def __init__(self, learner: Learner, most: int) -> None:
+        self.learner, self.most = learner, most
 
     def __getattr__(self, name: str) -> object:
-        return getattr(self.copy, name)
+        return getattr(self.learner, name)
 
     def piece(self, after, bare):
-        return self.copy.piece(after, self.most, bare)
+        return self.learner.piece(after, self.most, bare)
 
 
 def cloned(taker: SnapshotTransfer) -> SnapshotTransfer:
     """With containers of its own."""
     clone = object.__new__(SnapshotTransfer)
     vars(clone).update({k: v.copy() if isinstance(v, dict) else v for k, v in vars(taker).items()})
-    clone.copy = Learner()
-    vars(clone.copy).update(
-        {k: v.copy() if isinstance(v, (dict, list)) else v for k, v in vars(taker.copy).items()}
+    clone.learner = Learner()
+    vars(clone.learner).update(
+        {k: v.copy() if isinstance(v, (dict, list)) else v for k, v in vars(taker.learner).items()}
     )
     return clone
 
 
-def fold(copy: Learner, taken: ReceivedRows | None) -> list[Item]:
+def fold(learner: Learner, taken: ReceivedRows | None) -> list[Item]:
     if taken is None:
         return []
-    return (copy.replace if taken.replaced else copy.fold)(taken.upto, map(unpack_row, taken.rows))
+    return (learner.replace if taken.replaced else learner.fold)(
+        taken.committed_number, map(unpack_row, taken.rows)
+    )
 
 
 class Orders(TestCase):
@@ -91,7 +93,7 @@
         """Everything that can come about with that many changes known at the start to the taker and to the
         tellers, pieces of one row, so many answers under way at the most: each whole is the set as it
         was settled. Returns how many states and wholes there were."""
-        catch_up = SnapshotTransfer(upto(start), lambda: 0.0)
+        catch_up = SnapshotTransfer(committed_number(start), lambda: 0.0)
         states, wholes = [(tellers, catch_up, ())], 0
         seen = set()
         while states:
@@ -100,7 +102,7 @@
             key = repr(
                 (
                     held,
-                    taker.copy.upto,
+                    taker.learner.committed_number,
                     taker.anew,
                     taker.started,
                     taker.cursor,
@@ -123,7 +125,7 @@
                     for other in range(len(held)):
                         asker.left(other)
                     asker.waiting = None
-                    asker.told(number, COPIES[teller].upto)
+                    asker.told(number, COPIES[teller].committed_number)
                     for _, message in asker.step(0.0):
                         told = answered(COPIES[teller], message)
                         asker.told(number, NONE)
@@ -134,12 +136,12 @@
                 taken = hearer.heard(0.0, teller, {**orjson.loads(told), "n": asking})
                 if taken is not None:
                     wholes += 1
-                    before = names(hearer.copy)
-                    fold(hearer.copy, taken)
-                    reached = taken.upto[0]
-                    self.assertEqual(HELD[reached], names(hearer.copy), (start, tellers, before, taken))
-                    self.assertEqual(COPIES[reached].items, hearer.copy.items)
-                    self.assertEqual(COPIES[reached].at, hearer.copy.at)
+                    before = names(hearer.learner)
+                    fold(hearer.learner, taken)
+                    reached = taken.committed_number[0]
+                    self.assertEqual(HELD[reached], names(hearer.learner), (start, tellers, before, taken))
+                    self.assertEqual(COPIES[reached].items, hearer.learner.items)
+                    self.assertEqual(COPIES[reached].at, hearer.learner.at)
                 states.append((held, hearer, (*flying[:number], *flying[number + 1 :])))
         return len(seen), wholes
 
@@ -160,7 +162,7 @@
         self.draws = 0.0
 
     def taker(self, held: int = 0, **settings: float) -> SnapshotTransfer:
-        return SnapshotTransfer(upto(held), lambda: self.draws, **settings)
+        return SnapshotTransfer(committed_number(held), lambda: self.draws, **settings)
 
     def asked(self, taker: SnapshotTransfer) -> tuple[str, Message]:
         ((peer, message),) = taker.step(self.now)
@@ -172,12 +174,12 @@
         taker.told("k", at(6))
         peer, message = self.asked(taker)
         self.assertEqual(("k", {"t": "piece", "n": 1, "after": list(at(4))}), (peer, message))
-        told = answered(upto(6), message, 0.2, most=1000)
+        told = answered(committed_number(6), message, 0.2, most=1000)
         self.assertEqual([], taker.step(self.now + 0.1))
         taken = taker.heard(self.now + 0.1, "k", told)
-        self.assertEqual((at(6), False, 2), (taken.upto, taken.replaced, len(taken.rows)))
+        self.assertEqual((at(6), False, 2), (taken.committed_number, taken.replaced, len(taken.rows)))
         self.assertAlmostEqual(0.3, taken.age)  # counted from the asking
-        fold(taker.copy, taken)
+        fold(taker.learner, taken)
         self.assertEqual(([], None), (taker.step(self.now + 0.1), taker.wake_at()))
 
     def test_what_does_not_come_is_asked_of_another_at_the_same_place(self) -> None:
@@ -186,7 +188,7 @@
         for peer in "kl":
             taker.told(peer, at(4))
         peer, message = self.asked(taker)
-        taker.heard(self.now, peer, answered(upto(4), message))
+        taker.heard(self.now, peer, answered(committed_number(4), message))
         late = self.asked(taker)
         allowed = []
         for _ in range(7):
@@ -198,9 +200,9 @@
             self.assertNotEqual(late[0], peer) if len(allowed) == 1 else None
         self.assertEqual([ASKED_S, 2 * ASKED_S, 4 * ASKED_S], allowed[:3])
         self.assertEqual(ASKED_MOST_S, max(allowed))
-        self.assertIsNone(taker.heard(self.now, late[0], answered(upto(4), late[1])))
+        self.assertIsNone(taker.heard(self.now, late[0], answered(committed_number(4), late[1])))
         self.assertEqual(1, len(taker.staged))  # too late: it was asked more than four askings ago
-        told = answered(upto(4), message)
+        told = answered(committed_number(4), message)
         taker.heard(self.now, peer, told)
         taker.heard(self.now, peer, told)
         self.assertEqual(2, len(taker.staged))
@@ -210,15 +212,19 @@
         for peer in "kl":
             taker.told(peer, at(4))
         first, message = self.asked(taker)
-        told = answered(upto(4), message)
+        told = answered(committed_number(4), message)
         told["rows"][0][2] += 1
         self.assertIsNone(taker.heard(self.now, first, told))
         self.assertFalse(taker.staged)
         second, message = self.asked(taker)
         self.assertNotEqual(first, second)
-        self.assertIsNone(taker.heard(self.now, second, {**answered(upto(4), message), "more": False}))
+        self.assertIsNone(
+            taker.heard(self.now, second, {**answered(committed_number(4), message), "more": False})
+        )
         self.draws = 0.5  # and with both so, after a pause
-        self.assertIsNone(taker.heard(self.now, second, {**answered(upto(4), message), "upto": at(9)}))
+        self.assertIsNone(
+            taker.heard(self.now, second, {**answered(committed_number(4), message), "upto": at(9)})
+        )
         self.assertEqual([], taker.step(self.now))
         self.assertGreater(taker.wake_at(), self.now)
 
@@ -226,7 +232,7 @@
         taker = self.taker()
         taker.told("k", at(4))
         peer, message = self.asked(taker)
-        taker.heard(self.now, peer, answered(upto(4), message))
+        taker.heard(self.now, peer, answered(committed_number(4), message))
         self.asked(taker)
         taker.left("k")
         self.assertEqual([], taker.step(self.now))
@@ -234,7 +240,7 @@
         rows = 1
         while True:
             peer, message = self.asked(taker)
-            told = answered(upto(4), message)
+            told = answered(committed_number(4), message)
             rows += len(told["rows"])
             if (taken := taker.heard(self.now, peer, told)) is not None:
                 break
@@ -245,15 +251,15 @@
         taker = self.taker()
         taker.told("k", at(4))
         peer, message = self.asked(taker)
-        taker.heard(self.now, peer, answered(upto(4), message))  # b3
+        taker.heard(self.now, peer, answered(committed_number(4), message))  # b3
         taker.left("k")
         taker.told("l", at(3))
         while asked := taker.step(self.now):
-            self.assertIsNone(taker.heard(self.now, "l", answered(upto(3), asked[0][1])))
+            self.assertIsNone(taker.heard(self.now, "l", answered(committed_number(3), asked[0][1])))
         self.now = taker.wake_at()
         peer, message = self.asked(taker)  # begun anew, after a while
         self.assertEqual((CEILING_S, None), (self.now, message["after"]))
-        while (taken := taker.heard(self.now, "l", answered(upto(3), message))) is None:
+        while (taken := taker.heard(self.now, "l", answered(committed_number(3), message))) is None:
             peer, message = self.asked(taker)
         self.assertEqual(HELD[3], names_of(taken))
 
@@ -262,11 +268,11 @@
         taker.told("k", at(4))
         for _ in range(2):
             peer, message = self.asked(taker)
-            taker.heard(self.now, peer, answered(upto(4), message))
+            taker.heard(self.now, peer, answered(committed_number(4), message))
         taker.told("k", at(5))
         cursor = taker.cursor
         peer, message = self.asked(taker)  # it had restarted with less when this came
-        self.assertIsNone(taker.heard(self.now, peer, answered(upto(2), message)))
+        self.assertIsNone(taker.heard(self.now, peer, answered(committed_number(2), message)))
         self.assertEqual((cursor, at(2), []), (taker.cursor, taker.has["k"], taker.step(self.now)))
 
     def test_a_teller_that_restarts_with_less(self) -> None:
@@ -274,7 +280,7 @@
         taker = self.taker(3)
         taker.told("k", at(4))
         peer, message = self.asked(taker)
-        self.assertIsNone(taker.heard(self.now, peer, answered(upto(2), message)))
+        self.assertIsNone(taker.heard(self.now, peer, answered(committed_number(2), message)))
         self.assertEqual(([], None), (taker.step(self.now), taker.wake_at()))
         taker.told("k", at(5))
         self.assertEqual(1, len(taker.step(self.now)))
@@ -284,34 +290,34 @@
         taker = self.taker(2)
         taker.told("k", at(5))
         peer, message = self.asked(taker)
-        told = answered(upto(5), message)
+        told = answered(committed_number(5), message)
         self.assertTrue(told["again"])
         self.assertIsNone(taker.heard(self.now, peer, told))
         late = message
         while True:
             peer, message = self.asked(taker)
-            self.assertIsNone(taker.heard(self.now, peer, answered(upto(4), late)))
-            if (taken := taker.heard(self.now, peer, answered(upto(5), message))) is not None:
+            self.assertIsNone(taker.heard(self.now, peer, answered(committed_number(4), late)))
+            if (taken := taker.heard(self.now, peer, answered(committed_number(5), message))) is not None:
                 break
         self.assertTrue(taken.replaced)
-        new = fold(taker.copy, taken)
-        self.assertEqual((HELD[5], ("b", None)), (names(taker.copy), (new[0].name, new[0].content)))
+        new = fold(taker.learner, taken)
+        self.assertEqual((HELD[5], ("b", None)), (names(taker.learner), (new[0].name, new[0].content)))
 
     def test_a_horizon_that_moves_past_a_whole_under_way(self) -> None:
         # `b1` was staged, then dropped, and the drop collected: with the old teller or a new one, anew.
         taker = self.taker()
         taker.told("k", at(2))
         peer, message = self.asked(taker)
-        self.assertIsNone(taker.heard(self.now, peer, answered(upto(2), message)))
+        self.assertIsNone(taker.heard(self.now, peer, answered(committed_number(2), message)))
         taker.told("k", at(5))
         peer, message = self.asked(taker)
         self.assertEqual(list(at(2)), list(message["since"]))
         forged = {
-            **through(upto(5).piece(unpack_offset(message["after"])).packed()),
+            **through(committed_number(5).piece(unpack_offset(message["after"])).packed()),
             "n": message["n"],
             "age": 0.0,
         }
-        for told in (answered(upto(5), message), forged):
+        for told in (answered(committed_number(5), message), forged):
             hearer = deepcopy(taker)
             hearer.heard(self.now, peer, told)
             self.assertEqual((True, {}), (hearer.anew, hearer.staged))
@@ -320,18 +326,20 @@
         taker = self.taker(1)
         taker.told("k", at(4))
         peer, message = self.asked(taker)
-        taker.heard(self.now, peer, answered(upto(4), message))
-        taker.copy.fold(at(4), [unpack_row(each) for each in upto(4).piece(end_of_proposal(at(1))).rows])
+        taker.heard(self.now, peer, answered(committed_number(4), message))
+        taker.learner.fold(
+            at(4), [unpack_row(each) for each in committed_number(4).piece(end_of_proposal(at(1))).rows]
+        )
         self.assertEqual(([], {}, None), (taker.step(self.now), taker.staged, taker.wake_at()))
 
     def test_bytes_a_second_are_bounded(self) -> None:
         taker = self.taker(bytes_a_second=1000.0)
-        copy = settled((1, [service(f"s{number}", 1, "x" * 50) for number in range(100)]))
+        learner = committed((1, [service(f"s{number}", 1, "x" * 50) for number in range(100)]))
         taker.told("k", at(1))
         size = 0
         while True:
             peer, message = self.asked(taker)
-            told = answered(copy, message, most=700)
+            told = answered(learner, message, most=700)
             size += len(orjson.dumps(told["rows"]))
             if taker.heard(self.now + 0.001, peer, told) is not None:
                 break
--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -61,7 +61,7 @@
         again = Acceptor("a", self.opened())
         for name in ("promised", "accepted", "delta", "disks", "voting", "known", "seeds"):
             self.assertEqual(getattr(acceptor, name), getattr(again, name), name)
-        self.assertEqual(vars(acceptor.copy), vars(again.copy))
+        self.assertEqual(vars(acceptor.learner), vars(again.learner))
 
     def test_what_was_collected_is_gone(self) -> None:
         rows = [pack_row(service(f"s{number}"), (2, "w")) for number in range(600)]
@@ -71,19 +71,19 @@
     def test_a_disk_holds_the_rows_that_its_copy_holds(self) -> None:
         # Whatever is collected, replaced, or refused anew once it was collected, in the same write or later.
         acceptor = Acceptor("a", Saved((0, "a"), MEMBERS, voting=True, known=True))
-        settled = [
+        committed = [
             [service("v"), Item(SERVICE, "w", 2, None), Item(REFUSED, "r", 1, [409, "x", 3.0])],
             [Item(KEPT, "refused", 1, {"t": 5.0}), Item(REFUSED, "r", 1, [409, "x", 9.0])],
             [Item(REFUSED, "q", 1, [409, "x", 4.0])],
             [Item(KEPT, "dropped", 1, {"floor": 2, "at": [1, "w"]})],
         ]
         steps, held = [], [{}]
-        for number, items in enumerate(settled, 1):
+        for number, items in enumerate(committed, 1):
             steps.append(acceptor.learn((number, "w"), [(item, (number, "w")) for item in items])[0])
-            held.append(dict(acceptor.copy.items))
+            held.append(dict(acceptor.learner.items))
         self.assertEqual(["v", "refused", "r", "dropped"], [name for _, name in held[-1]])
         steps.append(acceptor.learn((7, "w"), [(service("y"), (6, "w"))], whole=True)[0])
-        held.append(dict(acceptor.copy.items))
+        held.append(dict(acceptor.learner.items))
         for number, items in enumerate(held):
             for name in os.listdir(self.folder):
                 os.remove(os.path.join(self.folder, name))
@@ -99,19 +99,19 @@
         path, kept = os.path.join(self.folder, FILE), os.path.join(self.folder, "copy")
         shutil.copy(path, kept)
         saved = [self.opened() for _ in range(2)]
-        self.assertEqual([2, 3], [each.boots for each in saved])
-        held = [(saved[-1].boots, saved[-1].promised)]
+        self.assertEqual([2, 3], [each.start_count for each in saved])
+        held = [(saved[-1].start_count, saved[-1].promised)]
         self.assertFalse(is_older(4, (3, "w"), held))
         self.assertFalse(is_older(1, (0, ""), []))
         shutil.move(kept, path)
         before = self.opened()
-        self.assertEqual((2, True), (before.boots, is_older(before.boots, before.promised, held)))
+        self.assertEqual((2, True), (before.start_count, is_older(before.start_count, before.promised, held)))
         self.assertTrue(is_older(9, (3, "w"), [(2, (3, "x"))]))
         db = sqlite3.connect(path)
         db.execute("DELETE FROM meta WHERE name = 'boots'")
         db.commit()
         db.close()
-        self.assertEqual(1, self.opened().boots)
+        self.assertEqual(1, self.opened().start_count)
 
     def test_a_damaged_file_counts_as_wiped(self) -> None:
         # Neither half of a promise nor another program's file is voted with.
@@ -143,14 +143,14 @@
         self.written([("meta", "promised", (3, "w"))])
         before = self.opened()
         codes = (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_IOERR | 1 << 8, sqlite3.SQLITE_FULL)
-        for starts, code in enumerate(codes, before.boots + 1):
+        for starts, code in enumerate(codes, before.start_count + 1):
             error = sqlite3.OperationalError("refused")
             error.sqlite_errorcode = code
             disk = self.disk()
             sound = disk._connected(os.path.join(self.folder, FILE))
             connected = mock.Mock(side_effect=[error, error, sound])
             with mock.patch.object(disk, "_connected", connected), mock.patch("time.sleep") as slept:
-                self.assertEqual(replace(before, boots=starts), disk.open(MEMBERS, False))
+                self.assertEqual(replace(before, start_count=starts), disk.open(MEMBERS, False))
             self.assertEqual(2, slept.call_count)
             disk.db.close()
 
@@ -163,7 +163,7 @@
             sealed = mock.Mock(side_effect=[error, (b"1", 0)])
             with mock.patch("time.sleep") as slept:
                 with mock.patch("foxspread.mesh.replication.storage._seal", sealed):
-                    self.assertEqual(1 if first else 2, disk.open(MEMBERS, first).boots)
+                    self.assertEqual(1 if first else 2, disk.open(MEMBERS, first).start_count)
             self.assertEqual(1, slept.call_count)
             disk.db.close()
             os.remove(os.path.join(self.folder, FILE))
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -77,10 +77,10 @@
     acceptor = Acceptor(name, saved)
     found = {
         "identity": saved.disk,
-        "starts": saved.boots,
+        "starts": saved.start_count,
         "seeds": saved.members,
         "promised": saved.promised,
-        "settled": saved.settled,
+        "settled": saved.committed,
         "accepted": saved.accepted,
         "accepted_items": saved.delta,
         "rows": sorted(saved.rows, key=lambda row: row[:2]),
@@ -98,21 +98,21 @@
     disk = Storage(str(folder), lambda call: None)
     acceptor = Acceptor(name, disk.open(SEEDS, False))
     disk.db.close()
-    held = acceptor.copy.items
+    held = acceptor.learner.items
     routes = [item for item in held.values() if item.kind == ROUTE and item.content is not None]
     found = {
         "configuration": laid_out(held.values()),
         "places": {item.name: place_of(item.content) for item in routes},
         "services": {item.name: services_of(item.content) for item in routes},
         "dropped": sorted(item.key for item in held.values() if item.content is None),
-        "forgotten_up_to": [acceptor.copy.floor, acceptor.copy.horizon],
+        "forgotten_up_to": [acceptor.learner.floor, acceptor.learner.horizon],
         "lease": held[LEASE, MEMBERS].content,
         "refusals": [item.content for item in held.values() if item.kind == REFUSED],
-        "agreed_clock": acceptor.copy.clock,
+        "agreed_clock": acceptor.learner.clock,
         "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
         "answers": {name: answer(held, order) for name, order in ORDERS.items()},
         "serves": acceptor.serves,
-        "unsettled": acceptor.unsettled,
+        "unsettled": acceptor.uncommitted,
     }
     return json.loads(json.dumps(found))
 
--- a/tests/mesh/simulation/test_invariants.py
+++ b/tests/mesh/simulation/test_invariants.py
@@ -22,10 +22,10 @@
 
 def shows(*steps: tuple) -> Judge:
     judge = Judge()
-    for copy, *items in steps:
-        if copy not in judge.copies:
-            judge.started(copy)
-        judge.shows(copy, items)
+    for learner, *items in steps:
+        if learner not in judge.copies:
+            judge.started(learner)
+        judge.shows(learner, items)
     return judge
 
 
--- a/tests/mesh/test_local_cluster.py
+++ b/tests/mesh/test_local_cluster.py
@@ -21,13 +21,13 @@
         super().setUp()
         self.folder = tempfile.mkdtemp(prefix="mesh-test-")
         net = f"127.{10 + os.getpid() // 250 % 240}.{os.getpid() % 250}"  # of this process alone
-        self.plot = create_layout(self.folder, 3, 2, net)
+        self.layout = create_layout(self.folder, 3, 2, net)
 
     def test_what_up_starts_serves_through_a_change_and_two_deaths(self) -> None:
         said: list[str] = []
         try:
-            figures = uvloop.run(played(self.plot, said))
-            self.assertEqual(self.plot, read(self.folder))
+            figures = uvloop.run(played(self.layout, said))
+            self.assertEqual(self.layout, read(self.folder))
             self.assertEqual(0, figures.twice)
             self.assertEqual(0, figures.mixed)
             self.assertEqual(0, figures.went_back)
@@ -38,7 +38,9 @@
             self.assertTrue(figures.good, "\n".join(figures.lines()))
             self.assertEqual({"side-1", "side-2"}, set(figures.acts))
             self.assertEqual({"core-1", "side-1"}, set(figures.after_deaths))
-            self.assertEqual([], [each.node for each in self.plot.machines if pid_of(self.plot, each.node)])
+            self.assertEqual(
+                [], [each.node for each in self.layout.machines if pid_of(self.layout, each.node)]
+            )
         except BaseException:
             kept = pathlib.Path(self.folder)
             logs = [f"{each.name}: {each.read_text()[-600:]}" for each in sorted(kept.glob("*/*.log"))]
@@ -47,17 +49,17 @@
         shutil.rmtree(self.folder)
 
 
-async def played(plot: Layout, said: list[str]) -> Figures:
+async def played(layout: Layout, said: list[str]) -> Figures:
     """The nursery ends its processes in any case."""
     stop, up = asyncio.Event(), asyncio.Event()
     async with asyncio.timeout(MOST_S):
-        growing = asyncio.get_running_loop().create_task(Supervisor(plot, said.append).run(stop, up.set))
+        growing = asyncio.get_running_loop().create_task(Supervisor(layout, said.append).run(stop, up.set))
         try:
             waiting = asyncio.get_running_loop().create_task(up.wait())
             await asyncio.wait([waiting, growing], return_when=asyncio.FIRST_COMPLETED)
             if growing.done():
                 growing.result()
-            return await SmokeTest(plot, said.append, pace=150.0).run(300)
+            return await SmokeTest(layout, said.append, pace=150.0).run(300)
         finally:
             stop.set()
             await growing
--- a/tests/mesh/test_node.py
+++ b/tests/mesh/test_node.py
@@ -16,7 +16,7 @@
 
 from foxspread.mesh import log
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, SERVICE, Item
-from foxspread.mesh.node import SETTLED, Node
+from foxspread.mesh.node import COMMITTED_SET, Node
 from foxspread.mesh.replication.quorum_contact import TELL_S, QuorumContact, Report
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.learner import START, Learner, pack_offset, pack_row
@@ -77,10 +77,10 @@
                 settings_from({**FILE, **told, "counters": {"control": f"{ip}:8146"}}),
                 asyncio.get_running_loop(),
             )
-            node.keeper = object()
+            node.replica_server = object()
             with mock.patch.object(node, "_call", mock.AsyncMock()):
                 node._dial(node.clock())
-            return {place[0] for place, there in node.dialling.of.items() if there.calling}
+            return {place[0] for place, there in node.connection_manager.of.items() if there.calling}
 
         self.assertEqual({"127.0.0.2", "127.0.0.3"}, asyncio.run(called("127.0.0.1")))
         self.assertEqual(set(), asyncio.run(called("127.0.0.3")))
@@ -117,12 +117,15 @@
                 mock.Mock(time=loop.time, create_connection=create_connection),
             )
             place = ("127.0.0.2", 7660)
-            node.dialling.told(0.0, place)
-            node.dialling.of[place].calling = True
+            node.connection_manager.told(0.0, place)
+            node.connection_manager.of[place].calling = True
             await node._call(place)
             self.assertTrue(transport.aborted)
-            self.assertEqual((set(), {}), (node.unnamed, node.links))
-            self.assertEqual((False, 1), (node.dialling.of[place].calling, node.dialling.of[place].vain))
+            self.assertEqual((set(), {}), (node.unnamed, node.connections))
+            self.assertEqual(
+                (False, 1),
+                (node.connection_manager.of[place].calling, node.connection_manager.of[place].vain),
+            )
 
         asyncio.run(play())
 
@@ -144,28 +147,30 @@
             loop = asyncio.get_running_loop()
             node = self.node(loop, "127.0.0.1", data_dir="x", serves=["control"])
             members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
-            node.keeper = SimpleNamespace(acceptor=SimpleNamespace(known=True), members=members, fresh=True)
-            node.keepers = {"m2": "k2"}
+            node.replica_server = SimpleNamespace(
+                acceptor=SimpleNamespace(known=True), members=members, fresh=True
+            )
+            node.replicas = {"m2": "k2"}
             past = (0, ((1, "d"),))
             rows = [Item(SERVICE, "s", 2, {"name": "s"}, past), Item(LEASE, MEMBERS, 1, {"holder": "m2"})]
-            node.copy.fold((4, "l"), [(each, (4, "l")) for each in rows])
-            pull = {"t": "pull", "v": {SETTLED: []}, "at": 7.0}
+            node.learner.fold((4, "l"), [(each, (4, "l")) for each in rows])
+            pull = {"t": "pull", "v": {COMMITTED_SET: []}, "at": 7.0}
 
             def pieces(peer: str) -> list[dict]:
                 sent = []
-                link = SimpleNamespace(peer=peer, send=sent.append)
-                node._heard(link, {"t": "piece", "n": 1, "after": pack_offset(START)})
+                connection = SimpleNamespace(peer=peer, send=sent.append)
+                node._heard(connection, {"t": "piece", "n": 1, "after": pack_offset(START)})
                 return sent
 
             def told(peer: str) -> tuple[bool, bool, int]:
                 count = sum(len(each["rows"]) for each in pieces(peer))
                 self.assertEqual(bool(count), "upto" in node._news(peer, pull))
-                return node._tells(peer, SETTLED), node._ready(), count
+                return node._tells(peer, COMMITTED_SET), node._ready(), count
 
             self.assertEqual((False, False, 0), told("side"))
             self.assertEqual((True, False, 2), told("k2"))
-            asking = node.contact.ask(node.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
-            node.contact.heard(
+            asking = node.quorum_contact.ask(node.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
+            node.quorum_contact.heard(
                 node.now, "m2", QuorumContact.answer(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
             )
             node.now += 1.0
@@ -173,9 +178,11 @@
             news = node._news("side", pull)
             self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
             self.assertEqual([pack_row(rows[0].bare, (4, "l"))], pieces("side")[0]["rows"])
-            node.keeper.acceptor.known = False  # its disk came back empty: members are known from seeds only
+            node.replica_server.acceptor.known = (
+                False  # its disk came back empty: members are known from seeds only
+            )
             self.assertEqual((False, False, 0), told("side"))
-            node.keeper.acceptor.known = True
+            node.replica_server.acceptor.known = True
             node.now += TELL_S  # it stood still: nothing has told it so yet
             self.assertEqual((False, False, 0), told("side"))
             self.assertEqual((True, False, 2), told("k2"))
@@ -188,14 +195,14 @@
         async def play() -> None:
             node = self.node(asyncio.get_running_loop(), "127.0.0.9")
             item = Item(SERVICE, "s", 2, {"name": "s"})
-            there, have = Learner(), {"t": "have", "v": {SETTLED: [4, "l"]}}
+            there, have = Learner(), {"t": "have", "v": {COMMITTED_SET: [4, "l"]}}
             there.fold((4, "l"), [(item, (4, "l"))])
 
             def takes(node: Node, peer: str, at: float, age: float | None) -> list:
                 """Asked at that time, it comes now; whom it asked."""
                 node.now = at
                 node._heard(SimpleNamespace(peer=peer), have)
-                asked = node.catchup.step(at)
+                asked = node.snapshot_transfer.step(at)
                 node.now = 1000.0
                 for name, message in asked:
                     node._heard(
@@ -208,20 +215,20 @@
                 fresh = self.node(asyncio.get_running_loop(), "127.0.0.9")
                 fresh._take_news("x", {"t": "news", "at": at, "records": []})
                 self.assertEqual(["x"], takes(fresh, "x", at, age))
-                self.assertEqual((ready, {item.key: item}), (fresh._ready(), fresh.copy.items), (at, age))
+                self.assertEqual((ready, {item.key: item}), (fresh._ready(), fresh.learner.items), (at, age))
             takes(node, "x", 1000.0, None)
             news = {"t": "news", "upto": [4, "l"], "records": []}
             for at, age, ready in ((1000.0, None, False), (1000.0, 9.0, False), (980.0, 0.1, False),
                                    (999.9, 0.2, True), (980.0, 20.0, True)):  # fmt: skip
                 node._take_news("x", {**news, "at": at, "age": age})
                 self.assertEqual(ready, node._ready(), (at, age))
-            keeper, learnt = self.node(asyncio.get_running_loop(), "127.0.0.8"), []
-            keeper.keeper = SimpleNamespace(
-                learn=lambda *told: learnt.append(told), peer_settled=lambda at: None, acceptor=True
+            replica_server, learnt = self.node(asyncio.get_running_loop(), "127.0.0.8"), []
+            replica_server.replica_server = SimpleNamespace(
+                learn=lambda *told: learnt.append(told), peer_committed=lambda at: None, acceptor=True
             )
-            keeper.keepers = {"m2": "k2"}
-            self.assertEqual([], takes(keeper, "side", 1000.0, 0.1))
-            self.assertEqual((["k2"], 1), (takes(keeper, "k2", 1000.0, None), len(learnt)))
+            replica_server.replicas = {"m2": "k2"}
+            self.assertEqual([], takes(replica_server, "side", 1000.0, 0.1))
+            self.assertEqual((["k2"], 1), (takes(replica_server, "k2", 1000.0, None), len(learnt)))
 
         asyncio.run(play())
 
@@ -239,11 +246,13 @@
         async def play() -> None:
             node = self.node(asyncio.get_running_loop(), "127.0.0.9")
             node._own_record()
-            for told in ([node.record_life + 10**12, 3], [node.record_life + 10**12, 9]):
+            for told in ([node.record_incarnation + 10**12, 3], [node.record_incarnation + 10**12, 9]):
                 node._noticed({node.settings.node: told})
-                self.assertTrue((node.record_life, node.number) > tuple(told))
-                self.assertEqual((node.record_life, node.number), node.records.of["n-127.0.0.9"].version)
-            told = node.record_life, node.number + 4
+                self.assertTrue((node.record_incarnation, node.number) > tuple(told))
+                self.assertEqual(
+                    (node.record_incarnation, node.number), node.records.of["n-127.0.0.9"].version
+                )
+            told = node.record_incarnation, node.number + 4
             node._noticed({node.settings.node: list(told)})
             self.assertTrue(node.records.of["n-127.0.0.9"].version > told)
             before = node.records.of["n-127.0.0.9"].version
