--- /dev/null
+++ b/bench/mixed/harness.py
@@ -0,0 +1,114 @@
+"""The emulated operator and clients of a mesh that is up."""
+
+import asyncio
+import os
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
+from functools import partial
+
+from foxspread.orchard.dataplane.lanes import Lanes
+from foxspread.orchard.nursery.plot import SIDE, Plot
+from foxspread.orchard.settings import Address
+from foxspread.orchard.stand_ins.client import Answered, Client, Way
+from foxspread.orchard.stand_ins.ledger import Ledger
+from foxspread.orchard.stand_ins.operator import Operator
+from mixed.configuration import (
+    DEADLINE_S,
+    HOST,
+    Content,
+    change,
+    first_configuration,
+    item_versions,
+)
+from mixed.versions import RunError
+
+STEP_S = 30.0  # for whatever is waited for
+POLL_S = 0.05
+SWEEP_S = 0.5
+IDLE_CONNECTION_S = 20.0
+
+
+class Harness:
+    """The operator and the clients of a mesh that is up, with their common ledger."""
+
+    def __init__(self, plot: Plot) -> None:
+        self.plot = plot
+        self.clock = asyncio.get_running_loop().time
+        self.lanes = Lanes(self.clock, IDLE_CONNECTION_S)
+        self.ledger_path = plot.folder / "clients.jsonl"
+        self.ledger = Ledger(str(self.ledger_path))
+        self.operator = Operator(plot.controls, self.lanes, self.ledger)
+        self.clients = [
+            Client(each.node, each.place("outbound"), each.place("ready"), self.lanes, self.ledger)
+            for each in plot.of(SIDE)
+        ]
+        self.acknowledged: dict[str, int] = {}  # item -> its highest acknowledged version
+        self.changes = 0  # that were acknowledged
+
+    @asynccontextmanager
+    async def tending(self) -> AsyncIterator[None]:
+        """Asks for readiness and closes idle connections meanwhile."""
+        tasks = [asyncio.create_task(client.watch()) for client in self.clients]
+        tasks.append(asyncio.create_task(self._sweep()))
+        try:
+            yield
+        finally:
+            for task in tasks:
+                task.cancel()
+            self.lanes.close_all()
+            self.ledger.close()
+
+    async def _sweep(self) -> None:
+        while True:
+            await asyncio.sleep(SWEEP_S)
+            self.lanes.sweep()
+
+    async def patch(self, content: Content) -> None:
+        outcome = await self.operator.patch(content)
+        if not outcome:
+            raise RunError(f"a change was not acknowledged: {outcome.status}: {outcome.content}")
+        self.acknowledged.update(item_versions(content["lodge"]))
+
+    async def first(self) -> None:
+        """Until the first configuration is in force at every sidecar."""
+        await self.patch(first_configuration())
+        for client in self.clients:
+            for prefix in ("/read/", "/moving/"):
+                await self.until(f"{client.name} to serve {prefix}", partial(self.serves, client, prefix))
+            await self.until(f"{client.name} to be ready", client.look)
+
+    async def change_all(self, count: int, per_s: float) -> None:
+        began = self.clock()
+        for number in range(1, count + 1):
+            await asyncio.sleep(began + number / per_s - self.clock())
+            await self.patch(change(number))
+            self.changes = number
+
+    async def serves(self, client: Client, prefix: str) -> bool:
+        return (await ask(client, prefix)).served
+
+    async def read_all(self) -> list[Content]:
+        """The configuration, from each core by itself."""
+        held: list[Content] = []
+        for place in self.plot.controls:
+
+            async def answers(place: Address = place) -> bool:
+                outcome = await self.operator.get_at(place)
+                if outcome:
+                    held.append(outcome.content)
+                return bool(outcome)
+
+            await self.until(f"{place} to answer", answers)
+        return held
+
+    async def until(self, what: str, found: Callable[[], Awaitable[bool]]) -> None:
+        until = self.clock() + STEP_S
+        while not await found():
+            if self.clock() >= until:
+                raise RunError(f"waited in vain for {what}: see the logs under {self.plot.folder}")
+            await asyncio.sleep(POLL_S)
+
+
+async def ask(client: Client, prefix: str, safe: bool = True, noted: bool = False) -> Answered:
+    way = Way(HOST, f"{prefix}{os.urandom(3).hex()}", safe, DEADLINE_S)
+    return await client.request(way, noted=noted)
