--- a/bench/mixed/activities.py
+++ b/bench/mixed/activities.py
@@ -9,10 +9,10 @@
 from contextlib import contextmanager
 from functools import partial
 
-from foxspread.orchard.nursery.growing import pid_of
-from foxspread.orchard.nursery.plot import CORE, SIDE
-from foxspread.orchard.settings import Address
-from foxspread.orchard.stand_ins.client import Answered, Client
+from foxspread.mesh.local_cluster.supervisor import pid_of
+from foxspread.mesh.local_cluster.layout import CORE, SIDE
+from foxspread.mesh.settings import Address
+from foxspread.mesh.emulators.client import Answered, Client
 from mixed.configuration import change_name, item_versions, lost_items
 from mixed.harness import POLL_S, Harness, ask
 from mixed.versions import RunError
@@ -67,21 +67,21 @@
             await asyncio.sleep(BETWEEN_KILLS_S)
 
     async def _kill(self, node: str) -> None:
-        plot, pid = self.harness.plot, pid_of(self.harness.plot, node)
+        layout, pid = self.harness.layout, pid_of(self.harness.layout, node)
         if pid is None:
             raise RunError(f"{node} does not run")
         os.kill(pid, signal.SIGKILL)
         died = self.harness.clock()
 
         async def started_again() -> bool:
-            return pid_of(plot, node) not in (None, pid)
+            return pid_of(layout, node) not in (None, pid)
 
         await self.harness.until(f"{node} to be started again", started_again)
         await self.harness.until(f"{node} to serve again", partial(self._serves, node))
         self.back_after[node] = self.harness.clock() - died
 
     async def _serves(self, node: str) -> bool:
-        machine = self.harness.plot.machine(node)
+        machine = self.harness.layout.machine(node)
         if machine.kind == CORE:
             return bool(await self.harness.operator.get_at(machine.place("control")))
         client = next(each for each in self.harness.clients if each.name == node)
@@ -98,8 +98,8 @@
 
     @contextmanager
     def watched(self) -> Iterator[None]:
-        plot = self.harness.plot
-        tasks = [asyncio.create_task(self._core(each.place("control"))) for each in plot.of(CORE)]
+        layout = self.harness.layout
+        tasks = [asyncio.create_task(self._core(each.place("control"))) for each in layout.of(CORE)]
         tasks += [asyncio.create_task(self._sidecar(client)) for client in self.harness.clients]
         try:
             yield
--- a/bench/mixed/configuration.py
+++ b/bench/mixed/configuration.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from foxspread.orchard.nursery.plot import SERVICES
+from foxspread.mesh.local_cluster.layout import SERVICES
 
 HOST = "mixed.example"
 FIRST_SERVICE, SECOND_SERVICE = SERVICES
--- a/bench/mixed/harness.py
+++ b/bench/mixed/harness.py
@@ -6,12 +6,12 @@
 from contextlib import asynccontextmanager
 from functools import partial
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.nursery.plot import SIDE, Plot
-from foxspread.orchard.settings import Address
-from foxspread.orchard.stand_ins.client import Answered, Client, Way
-from foxspread.orchard.stand_ins.ledger import Ledger
-from foxspread.orchard.stand_ins.operator import Operator
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.local_cluster.layout import SIDE, Layout
+from foxspread.mesh.settings import Address
+from foxspread.mesh.emulators.client import Answered, Client, Way
+from foxspread.mesh.emulators.event_record import EventRecord
+from foxspread.mesh.emulators.operator import Operator
 from mixed.configuration import (
     DEADLINE_S,
     HOST,
@@ -31,16 +31,16 @@
 class Harness:
     """The operator and the clients of a mesh that is up, with their common ledger."""
 
-    def __init__(self, plot: Plot) -> None:
-        self.plot = plot
+    def __init__(self, layout: Layout) -> None:
+        self.layout = layout
         self.clock = asyncio.get_running_loop().time
         self.lanes = Lanes(self.clock, IDLE_CONNECTION_S)
-        self.ledger_path = plot.folder / "clients.jsonl"
-        self.ledger = Ledger(str(self.ledger_path))
-        self.operator = Operator(plot.controls, self.lanes, self.ledger)
+        self.ledger_path = layout.folder / "clients.jsonl"
+        self.ledger = EventRecord(str(self.ledger_path))
+        self.operator = Operator(layout.controls, self.lanes, self.ledger)
         self.clients = [
             Client(each.node, each.place("outbound"), each.place("ready"), self.lanes, self.ledger)
-            for each in plot.of(SIDE)
+            for each in layout.of(SIDE)
         ]
         self.acknowledged: dict[str, int] = {}  # item -> its highest acknowledged version
         self.changes = 0  # that were acknowledged
@@ -90,7 +90,7 @@
     async def read_all(self) -> list[Content]:
         """The configuration, from each core by itself."""
         held: list[Content] = []
-        for place in self.plot.controls:
+        for place in self.layout.controls:
 
             async def answers(place: Address = place) -> bool:
                 outcome = await self.operator.get_at(place)
@@ -105,7 +105,7 @@
         until = self.clock() + STEP_S
         while not await found():
             if self.clock() >= until:
-                raise RunError(f"waited in vain for {what}: see the logs under {self.plot.folder}")
+                raise RunError(f"waited in vain for {what}: see the logs under {self.layout.folder}")
             await asyncio.sleep(POLL_S)
 
 
--- a/bench/mixed/judging.py
+++ b/bench/mixed/judging.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from foxspread.orchard.nursery.plot import SIDE, Plot
-from foxspread.orchard.stand_ins.client import Client
-from foxspread.orchard.stand_ins.ledger import rows
+from foxspread.mesh.local_cluster.layout import SIDE, Layout
+from foxspread.mesh.emulators.client import Client
+from foxspread.mesh.emulators.event_record import rows
 from mixed.activities import Load, Regressions
 from mixed.configuration import change_name, item_versions, lost_items
 from mixed.harness import Harness
@@ -39,9 +39,9 @@
     callers: dict[str, set[str]] = field(default_factory=dict)
 
     @staticmethod
-    def read(plot: Plot) -> "ServerRuns":
+    def read(layout: Layout) -> "ServerRuns":
         found = ServerRuns()
-        for ledger in plot.ledgers():
+        for ledger in layout.ledgers():
             for row in rows(ledger):
                 if row["what"] == "run":
                     found.count[row["id"]] += 1
@@ -50,7 +50,7 @@
 
 
 def judge_load(result: Result, harness: Harness, load: Load) -> None:
-    runs, ended = ServerRuns.read(harness.plot), load.ended
+    runs, ended = ServerRuns.read(harness.layout), load.ended
     served = [each for each in ended if each.served]
     how = Counter(f"status {each.status}" if each.status else each.why for each in ended if not each.served)
     share = len(served) / max(1, len(ended))
@@ -68,7 +68,7 @@
     tries = [row for row in rows(harness.ledger_path) if row["what"] == "try"]
     mixed = sum(bool(row["mixed"]) for row in tries)
     result.check("answers mixed up", f"{mixed} of {len(tries)} tries", not mixed)
-    services = {each.node: each.service for each in harness.plot.of(SIDE)}
+    services = {each.node: each.service for each in harness.layout.of(SIDE)}
     wrong = sum(runs.callers.get(row["id"], set()) - {services[row["caller"]]} != set() for row in tries)
     result.check("wrong caller", str(wrong), not wrong)
 
--- a/bench/mixed/versions.py
+++ b/bench/mixed/versions.py
@@ -9,8 +9,8 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 
-from foxspread.orchard.nursery.growing import Nursery, pid_of
-from foxspread.orchard.nursery.plot import CORE, SIDE, Plot
+from foxspread.mesh.local_cluster.supervisor import Supervisor, pid_of
+from foxspread.mesh.local_cluster.layout import CORE, SIDE, Layout
 
 OLD, NEW = "old", "new"
 
@@ -53,16 +53,16 @@
 
 
 @asynccontextmanager
-async def mesh(plot: Plot, assigned: dict[str, Version]) -> AsyncIterator[None]:
+async def mesh(layout: Layout, assigned: dict[str, Version]) -> AsyncIterator[None]:
     """Runs the processes of `plot`, each machine's of its version."""
     stop, up = asyncio.Event(), asyncio.Event()
-    nursery = Nursery(plot, say)
-    for child in nursery.nodes:
+    supervisor = Supervisor(layout, say)
+    for child in supervisor.nodes:
         version = assigned[child.name]
         child.command = [sys.executable, "-m", version.process_module]
         child.root = version.folder
         child.variables.update(version.variables)
-    running = asyncio.create_task(nursery.run(stop, up.set))
+    running = asyncio.create_task(supervisor.run(stop, up.set))
     waiting = asyncio.create_task(up.wait())
     try:
         await asyncio.wait([running, waiting], return_when=asyncio.FIRST_COMPLETED)
@@ -76,25 +76,25 @@
 
 
 def assign(
-    plot: Plot, versions: Versions, cores: Sequence[str], sidecars: Sequence[str]
+    layout: Layout, versions: Versions, cores: Sequence[str], sidecars: Sequence[str]
 ) -> dict[str, Version]:
-    labels = zip((*plot.of(CORE), *plot.of(SIDE)), (*cores, *sidecars), strict=True)
+    labels = zip((*layout.of(CORE), *layout.of(SIDE)), (*cores, *sidecars), strict=True)
     return {machine.node: versions[label] for machine, label in labels}
 
 
-def one_of_each(plot: Plot, assigned: dict[str, Version]) -> list[str]:
+def one_of_each(layout: Layout, assigned: dict[str, Version]) -> list[str]:
     """A core and a sidecar of each version."""
     found: dict[tuple[str, str], str] = {}
-    for machine in plot.machines:
+    for machine in layout.machines:
         found.setdefault((machine.kind, assigned[machine.node].label), machine.node)
     return list(found.values())
 
 
-def misplaced(plot: Plot, assigned: dict[str, Version]) -> list[str]:
+def misplaced(layout: Layout, assigned: dict[str, Version]) -> list[str]:
     """Nodes whose process does not run in the folder of its version."""
-    return [node for node, version in assigned.items() if working_folder(plot, node) != version.folder]
+    return [node for node, version in assigned.items() if working_folder(layout, node) != version.folder]
 
 
-def working_folder(plot: Plot, node: str) -> pathlib.Path | None:
-    pid = pid_of(plot, node)
+def working_folder(layout: Layout, node: str) -> pathlib.Path | None:
+    pid = pid_of(layout, node)
     return pathlib.Path(os.readlink(f"/proc/{pid}/cwd")) if pid is not None else None
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from foxspread.lab.experiments import runs as experiments
-from foxspread.orchard.nursery.plot import SIDE, Plot, laid
+from foxspread.mesh.local_cluster.layout import SIDE, Layout, create_layout
 from mixed.activities import REQUESTS_PER_S, Kills, Load, Regressions
 from mixed.configuration import change, item_versions, lost_items
 from mixed.harness import Harness
@@ -27,7 +27,7 @@
 from mixed.versions import NEW, OLD, Version, Versions, assign, mesh, misplaced, one_of_each, say
 
 OLD_PROCESS_MODULE = "foxspread.orchard.process"
-NEW_PROCESS_MODULE = "foxspread.orchard.process"
+NEW_PROCESS_MODULE = "foxspread.mesh.process"
 OLD_COMMIT = "d26c70f"
 RUNS = {
     "A": ((OLD, OLD, NEW), (OLD, OLD, NEW, NEW)),  # versions of the cores, versions of the sidecars
@@ -39,14 +39,14 @@
 KILLS_FROM = 0.1  # share of the requests that have ended before the first kill
 
 
-async def mixed_run(name: str, plot: Plot, versions: Versions, requests: int, changes: int) -> Result:
+async def mixed_run(name: str, layout: Layout, versions: Versions, requests: int, changes: int) -> Result:
     cores, sidecars = RUNS[name]
-    assigned = assign(plot, versions, cores, sidecars)
+    assigned = assign(layout, versions, cores, sidecars)
     result = Result(f"run {name}: cores {'+'.join(cores)}, sidecars {'+'.join(sidecars)}")
     say(result.title)
-    async with mesh(plot, assigned):
-        harness = Harness(plot)
-        load, kills = Load(harness, requests), Kills(harness, one_of_each(plot, assigned))
+    async with mesh(layout, assigned):
+        harness = Harness(layout)
+        load, kills = Load(harness, requests), Kills(harness, one_of_each(layout, assigned))
         regressions = Regressions(harness)
         async with harness.tending():
             await harness.first()
@@ -59,35 +59,37 @@
                     await kills.run()
                     under_load = not loading.done()
             result.figures["took"] = f"{harness.clock() - began:.0f} s"
-            strays = misplaced(plot, assigned)
+            strays = misplaced(layout, assigned)
             result.check("processes of the wrong version", f"{len(strays)} of {len(assigned)}", not strays)
             await judge_configuration(result, harness, changes)
         judge_load(result, harness, load)
     judge_regressions(result, regressions)
     for node, took in kills.back_after.items():
-        kind = f"{assigned[node].label} {plot.machine(node).kind}"
+        kind = f"{assigned[node].label} {layout.machine(node).kind}"
         result.figures[f"{kind} serves again after"] = f"{took:.2f} s"
     when = "within the load" if under_load else "the load had ended"
     result.check("kills", f"{len(kills.back_after)} of {len(kills.nodes)}, {when}", under_load)
     return result
 
 
-async def takeover(plot: Plot, versions: Versions, changes: int) -> Result:
+async def takeover(layout: Layout, versions: Versions, changes: int) -> Result:
     """Old processes write the folders, all stop, new ones start on them."""
     result = Result("takeover: all old, stopped, all new on the same folders")
     say(result.title)
-    old, new = (assign(plot, versions, [label] * CORES, [label] * len(plot.of(SIDE))) for label in (OLD, NEW))
-    async with mesh(plot, old):
-        harness = Harness(plot)
+    old, new = (
+        assign(layout, versions, [label] * CORES, [label] * len(layout.of(SIDE))) for label in (OLD, NEW)
+    )
+    async with mesh(layout, old):
+        harness = Harness(layout)
         async with harness.tending():
             await harness.first()
             await harness.change_all(changes, 10 * CHANGES_PER_S)
             before = await harness.read_all()
-    async with mesh(plot, new):
-        after_stop = Harness(plot)
+    async with mesh(layout, new):
+        after_stop = Harness(layout)
         async with after_stop.tending():
             after = await after_stop.read_all()
-            strays = misplaced(plot, new)
+            strays = misplaced(layout, new)
             further = await after_stop.operator.patch(change(changes + 1))
     lost = [name for each in after for name in lost_items(harness.acknowledged, item_versions(each))]
     equal = all(each == before[0] for each in (*before, *after))
@@ -118,11 +120,11 @@
     say(f"data and logs: {folder}")
     results = []
     for name in RUNS:
-        plot = laid(str(folder / f"run-{name}"), CORES, SIDECARS, asked.net)
-        run = mixed_run(name, plot, versions, asked.requests, asked.changes)
+        layout = create_layout(str(folder / f"run-{name}"), CORES, SIDECARS, asked.net)
+        run = mixed_run(name, layout, versions, asked.requests, asked.changes)
         results.append(attempted(f"run {name}", run))
-    plot = laid(str(folder / "takeover"), CORES, SIDECARS, asked.net)
-    results.append(attempted("takeover", takeover(plot, versions, asked.changes)))
+    layout = create_layout(str(folder / "takeover"), CORES, SIDECARS, asked.net)
+    results.append(attempted("takeover", takeover(layout, versions, asked.changes)))
     return results
 
 
