--- a/foxspread/orchard/membership/dialling.py
+++ b/foxspread/mesh/gossip/connection_manager.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from foxspread.orchard.settings import Address
+from foxspread.mesh.settings import Address
 
 LINKS_MOST = 5  # to keepers, that a sidecar keeps
 CALLS_MOST = 5  # under way at once
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class KnownAddress:
     order: float  # by chance: which of many a sidecar prefers
     since: float  # when it was first heard of, or last answered
     name: str = ""  # who is there, while a link stands
@@ -42,14 +42,14 @@
     calling: bool = False
 
 
-class Dialling:
+class ConnectionManager:
     def __init__(
-        self, now: float, own: Address, keeps: bool, seeds: Iterable[Address], draw: Callable[[], float]
+        self, now: float, own: Address, has_storage: bool, seeds: Iterable[Address], draw: Callable[[], float]
     ) -> None:
-        self.own, self.keeps, self.draw = own, keeps, draw
+        self.own, self.has_storage, self.draw = own, has_storage, draw
         self.seeds: frozenset[Address] = frozenset()
         self.members: frozenset[Address] = frozenset()
-        self.of: dict[Address, Place] = {}
+        self.of: dict[Address, KnownAddress] = {}
         self.next_change, self.changes = now + CHANGE_S, 0
         self.seeded(now, seeds)
 
@@ -77,7 +77,7 @@
                 if not unlinked:
                     return
                 del self.of[min(unlinked, key=lambda each: (self.of[each].since, each))]
-        self.of[place] = Place(self.draw(), now)
+        self.of[place] = KnownAddress(self.draw(), now)
 
     @property
     def lasting(self) -> frozenset[Address]:
@@ -109,7 +109,7 @@
             return
         there.calling = False
         first = REFUSED_S if refused else SILENT_S
-        most = PAUSE_MOST_KEEPERS_S if self.keeps else PAUSE_MOST_S
+        most = PAUSE_MOST_KEEPERS_S if self.has_storage else PAUSE_MOST_S
         if place not in self.lasting:
             most = PAUSE_MOST_REST_S
         pause = min(most, first * 2 ** min(there.vain // VAIN, 10))
@@ -122,7 +122,7 @@
     def live(self) -> list[Address]:
         return [place for place, there in self.of.items() if there.name]
 
-    def in_contact(self) -> list[str]:
+    def in_quorum_contact(self) -> list[str]:
         """Names of linked keepers that say so."""
         return [there.name for there in self.of.values() if there.name and there.contact]
 
@@ -134,7 +134,7 @@
                 del self.of[place]
         under_way = sum(there.calling for there in self.of.values())
         room = CALLS_MOST - under_way
-        if not self.keeps:
+        if not self.has_storage:
             room = min(room, LINKS_MOST - len(self.live) - under_way)
         due = [place for place in self._ranked() if self._due(now, place)][: max(0, room)]
         for place in due:
@@ -145,11 +145,11 @@
         """Names of keepers whose links a sidecar ends: those over its number, and one now and then where a
         better one may be had: an agreed member for another, or, with none in contact, any for one that is
         not. The latter ever more rarely: where no keeper is in contact, no change helps."""
-        if self.keeps:
+        if self.has_storage:
             return []
         ranked = [place for place in self._ranked() if self.of[place].name]
         over = [self.of[place].name for place in ranked[LINKS_MOST:]]
-        found = self.in_contact()
+        found = self.in_quorum_contact()
         if found:
             self.changes = 0
         if over or len(ranked) < LINKS_MOST or now < self.next_change:
@@ -186,22 +186,22 @@
         there = self.of[place]
         if there.name or there.calling or now < there.next_at:
             return False
-        if not self.keeps or self.own < place or place in self.seeds and self.own not in self.seeds:
+        if not self.has_storage or self.own < place or place in self.seeds and self.own not in self.seeds:
             return True
         return now - there.since >= HIGHER_S
 
 
-class Leaning:
+class NeighbourFallback:
     """Where no keeper in contact can be reached, a few sidecars are asked for news until one can."""
 
     def __init__(self, now: float) -> None:
         self.alone_since: float | None = now
 
-    def wanted(self, now: float, in_contact: int, links: int) -> int:
+    def wanted(self, now: float, in_quorum_contact: int, connections: int) -> int:
         """How many more sidecars to have links to."""
-        if in_contact:
+        if in_quorum_contact:
             self.alone_since = None
             return 0
         if self.alone_since is None:
             self.alone_since = now
-        return max(0, SIDES_MOST - links) if now - self.alone_since > SIDES_AFTER_S else 0
+        return max(0, SIDES_MOST - connections) if now - self.alone_since > SIDES_AFTER_S else 0
--- a/foxspread/orchard/hollow/run.py
+++ b/foxspread/mesh/hollow/experiment.py
@@ -14,24 +14,24 @@
 
 import orjson
 
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.hollow.sidecar import BERTHS
-from foxspread.orchard.hollow.slopes import share, shown, table
-from foxspread.orchard.nursery.growing import Child, free
-from foxspread.orchard.nursery.plot import (
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.hollow.sidecar import BERTHS
+from foxspread.mesh.hollow.slopes import share, shown, table
+from foxspread.mesh.local_cluster.supervisor import Child, free
+from foxspread.mesh.local_cluster.layout import (
     APP,
     BOUNDS,
     CORE,
     INNER,
     PORTS,
     Machine,
-    Plot,
-    PlotError,
+    Layout,
+    LayoutError,
     settings,
     written,
 )
-from foxspread.orchard.settings import FILE_VARIABLE
-from foxspread.orchard.stand_ins.operator import Operator
+from foxspread.mesh.settings import FILE_VARIABLE
+from foxspread.mesh.emulators.operator import Operator
 
 HOST = "orchard.example"
 STEP_S = 60.0  # for whatever is waited for
@@ -84,7 +84,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / "sidecars.json"
         written(path, {"sidecars": self.sidecars})
-        child = Child("hollow", self.folder, ["foxspread.orchard.hollow.process", str(path)], {})
+        child = Child("hollow", self.folder, ["foxspread.mesh.hollow.process", str(path)], {})
         with open(child.log, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *child.command,
@@ -101,7 +101,7 @@
             self.process.stdin.write(orjson.dumps({"do": what, **told}) + b"\n")
             line = await self.process.stdout.readline()
         if not line:
-            raise PlotError(f"hollow sidecars ended: see {self.folder}")
+            raise LayoutError(f"hollow sidecars ended: see {self.folder}")
         return orjson.loads(line)
 
     async def end(self) -> None:
@@ -116,9 +116,9 @@
             await self.process.wait()
 
 
-def sidecars(shape: Shape, plot: Plot, count: int) -> list[dict[str, dict[str, Any]]]:
+def sidecars(shape: Shape, layout: Layout, count: int) -> list[dict[str, dict[str, Any]]]:
     """Their settings by node, process by process: spread over zones and services, an address each."""
-    told = settings(plot, plot.machines[0], first=False)
+    told = settings(layout, layout.machines[0], first=False)
     rows: dict[str, dict[str, Any]] = {}
     for number in range(count):
         ip = f"{shape.net}.{1 + number // ADDRESSES}.{1 + number % ADDRESSES}"
@@ -146,8 +146,8 @@
     return f"zone-{number % shape.zones}"
 
 
-def keepers(shape: Shape, folder: pathlib.Path) -> Plot:
-    return Plot(
+def keepers(shape: Shape, folder: pathlib.Path) -> Layout:
+    return Layout(
         folder,
         tuple(
             Machine(f"core-{n + 1}", CORE, f"{shape.net}.0.{n + 1}", zone(shape, n))
@@ -226,30 +226,30 @@
 
     def __init__(self, shape: Shape, folder: pathlib.Path, count: int, say: Callable[[str], None]) -> None:
         self.shape, self.count, self.say = shape, count, say
-        self.plot = keepers(shape, folder)
+        self.layout = keepers(shape, folder)
         self.children = [
             Child(
                 each.node,
                 folder / each.node,
-                ["foxspread.orchard", "node"],
+                ["foxspread.mesh", "node"],
                 {FILE_VARIABLE: str(folder / each.node / "node.json")},
             )
-            for each in self.plot.machines
+            for each in self.layout.machines
         ]
         self.workers = [
             Worker(folder / f"hollow-{number}", told)
-            for number, told in enumerate(sidecars(shape, self.plot, count))
+            for number, told in enumerate(sidecars(shape, self.layout, count))
         ]
         self.names = [name for worker in self.workers for name in worker.sidecars]
         self.lanes = Lanes(time.monotonic, 20.0)
-        self.operator = Operator(self.plot.controls, self.lanes)
+        self.operator = Operator(self.layout.controls, self.lanes)
         self.versions = itertools.count(2)
-        self.lives: dict[str, int] = {}  # of those that were restarted: how often each has been started
+        self.instances: dict[str, int] = {}  # of those that were restarted: how often each has been started
         self.figures = Size(count)
 
     async def play(self) -> Size:
         shape = self.shape
-        free(self.plot)
+        free(self.layout)
         try:
             await self._keepers()
             items = shape.services + shape.routes + 1
@@ -282,15 +282,15 @@
         return self.figures
 
     async def _keepers(self) -> None:
-        for machine, child in zip(self.plot.machines, self.children):
+        for machine, child in zip(self.layout.machines, self.children):
             child.folder.mkdir(parents=True, exist_ok=True)
-            told = settings(self.plot, machine, first=True)
+            told = settings(self.layout, machine, first=True)
             zones = {zone(self.shape, n): "orchard" for n in range(self.shape.zones)}
             written(child.folder / "node.json", told | {"zones": zones})
             await child.start()
         outcome = await self.operator.patch(configuration(self.shape), STEP_S)
         if not outcome:
-            raise PlotError(f"the first configuration: {outcome.status} {outcome.content}")
+            raise LayoutError(f"the first configuration: {outcome.status} {outcome.content}")
 
     async def _known(self, what: str, items: int, nodes: list[str] | None = None) -> float:
         """Waits until these hold `items` and the record of every sidecar and keeper; returns when."""
@@ -302,7 +302,7 @@
             if least["items"] >= items and least["records"] >= everybody and least["links"] >= 1:
                 return max(each["at"] for each in looks)
             if time.monotonic() > until:
-                raise PlotError(f"waited {STEP_S:g} s for {what}: the least that one knows: {least}")
+                raise LayoutError(f"waited {STEP_S:g} s for {what}: the least that one knows: {least}")
             await asyncio.sleep(LOOK_S)
 
     def _of(self, nodes: list[str] | None) -> list[tuple[Worker, dict[str, Any]]]:
@@ -423,8 +423,8 @@
             told = await worker.do("end", nodes=[node])
             await asyncio.sleep(0.05)
             await worker.do("start", nodes=[node])
-            self.lives[node] = self.lives.get(node, 1) + 1
-            sent[f"{node}-{self.lives[node]}@{BERTHS}"] = told["at"]
+            self.instances[node] = self.instances.get(node, 1) + 1
+            sent[f"{node}-{self.instances[node]}@{BERTHS}"] = told["at"]
 
         await self._paced(self.shape.restarts, act)
         await asyncio.sleep(self.shape.heartbeat_s)
@@ -441,7 +441,7 @@
         ended = await self._known("the zone", self.shape.services + self.shape.routes + 1, nodes)
         await asyncio.sleep(self.shape.heartbeat_s + 1.5)
         await self._times(
-            name, {f"{each}-{self.lives.get(each, 1) + 1}@{BERTHS}": began for each in nodes}, self.count
+            name, {f"{each}-{self.instances.get(each, 1) + 1}@{BERTHS}": began for each in nodes}, self.count
         )
         self.figures.times[name] |= {"sidecars": float(len(nodes)), "until they know all": ended - began}
 
@@ -504,7 +504,7 @@
         try:
             async with asyncio.timeout(left + within):
                 sizes.append(await Run(shape, folder / str(count), count, say).play())
-        except (PlotError, TimeoutError) as error:
+        except (LayoutError, TimeoutError) as error:
             say(f"{count} sidecars failed: {error or 'the time is up'}")
             break
         written(
--- a/foxspread/orchard/messaging/datagrams.py
+++ b/foxspread/mesh/transport/datagrams.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.messaging.netstrings import Decoder, encode
-from foxspread.orchard.settings import Address
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.transport.netstrings import Decoder, encode
+from foxspread.mesh.settings import Address
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     def __init__(self, heard: Callable[[dict[str, Any]], None]) -> None:
         self.heard = heard
         self.transport: asyncio.DatagramTransport | None = None
