--- a/tests/mesh/transport/test_recorded_messages.py
+++ b/tests/mesh/transport/test_recorded_messages.py
@@ -1,7 +1,7 @@
-"""The bytes between the mesh's own processes, as commit d26c70f sent them, are decoded and encoded to the same.
+"""The bytes between the mesh's own processes, as commit d26c70f sent them, are decoded and encoded again.
 
-tests/data/wire/mesh-messages.jsonl holds them, one a line: kind, where it was recorded (real processes of a local
-cluster under kills, or simulated fleets with wipes and partitions), and the netstring in base64.
+tests/data/wire/mesh-messages.jsonl holds them, one a line: kind, where it was recorded (real processes of a
+local cluster under kills, or simulated fleets with wipes and partitions), and the netstring in base64.
 """
 
 import base64
@@ -13,14 +13,14 @@
 from foxspread.mesh.transport.netstrings import Decoder, encode
 
 RECORDED = pathlib.Path(__file__).parents[2] / "data" / "wire" / "mesh-messages.jsonl"
-KINDS = {
-    "accept", "accepted", "beat", "behind", "contact", "contacted", "enrol", "enrolled", "have", "hello", "nack",
-    "news", "piece", "prepare", "promise", "pull", "rows", "shuffle", "shuffled", "stale", "standing",
-}  # fmt: skip
+KINDS = set(
+    "accept accepted beat behind contact contacted enrol enrolled have hello nack news piece prepare promise "
+    "pull rows shuffle shuffled stale standing".split()
+)
 
 
 def reencode(data: bytes) -> bytes:
-    """Decodes one message and encodes it again: to go through the typed codec of its kind, where there is one."""
+    """Decodes one message and encodes it again, through the typed codec of its kind where there is one."""
     (fields,) = Decoder().feed(data)
     return encode(fields)
 
