--- a/bench/catching_up.py
+++ b/bench/catching_up.py
@@ -18,10 +18,12 @@
 
 from foxspread.mesh.configuration.items import ROUTE, Item
 from foxspread.mesh.transport.netstrings import Decoder, encode
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.learner import Learner, pack_row, unpack_row
+from foxspread.mesh.replication.messages import Message, decode
 from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.stored_state import COMMITTED, PutRows, RecoveredState, SetMeta
 
 CHANGES_A_SECOND = 3
 DELAY_S = 0.001
@@ -68,16 +70,16 @@
         longest = max(longest, spent)
         return found, spent
 
-    def over(message: dict) -> dict:
+    def over(message: Message) -> Message:
         nonlocal now, size
-        data, spent = timed(encode, message)
+        data, spent = timed(lambda: encode(message.packed()))
         now += spent + DELAY_S + 8 * len(data) * BIT / mbit
         size += len(data)
-        (there,), spent = timed(Decoder().feed, data)
+        there, spent = timed(lambda: decode(Decoder().feed(data)[0]))
         now += spent
         return there
 
-    taker.told("k", teller.committed_number)
+    taker.on_peer_committed("k", teller.committed_number)
     while True:
         asked, spent = timed(taker.step, now)
         if not asked:
@@ -87,11 +89,11 @@
         while changes < now * CHANGES_A_SECOND:
             changes += 1
             change(teller, items)
-        told, spent = timed(SnapshotTransfer.answer, teller, message, 0.0, True)
+        told, spent = timed(SnapshotTransfer.reply, teller, message, 0.0, True)
         spent_teller += spent
         now += spent
         told = over(told)
-        taken, spent = timed(taker.heard, now, "k", told)
+        taken, spent = timed(taker.receive, now, "k", told)
         spent_taker += spent
         now += spent
         pieces += 1
@@ -112,11 +114,12 @@
     learner = held(items)
     own = tracemalloc.get_traced_memory()[0]
     taker = SnapshotTransfer(Learner(), lambda: 0.5)
-    taker.told("k", learner.committed_number)
+    taker.on_peer_committed("k", learner.committed_number)
     staged = 0
     while asked := taker.step(1e9):
-        (told,) = Decoder().feed(encode(SnapshotTransfer.answer(learner, asked[0][1], 0.0, True)))
-        if taker.heard(1e9, "k", told) is not None:
+        reply = SnapshotTransfer.reply(learner, asked[0].message, 0.0, True)
+        (fields,) = Decoder().feed(encode(reply.packed()))
+        if taker.receive(1e9, "k", decode(fields)) is not None:
             break
         staged = tracemalloc.get_traced_memory()[0] - own
     tracemalloc.stop()
@@ -130,19 +133,23 @@
     saved = disk.open(("a", "b", "c"), True)
     disk.start()
     learner = held(items)
-    rows = [pack_row(*each) for each in learner.since((0, ""))]
+    rows = [pack_row(*each) for each in learner.changed_since((0, ""))]
     gaps, last = [], time.perf_counter()
     began = last
-    disk.put(
-        [*Acceptor("a", saved).first(), ("items", rows), ("meta", "settled", learner.committed_number)],
+    disk.write(
+        [
+            *Acceptor("a", saved).initial_writes(),
+            PutRows(rows),
+            SetMeta(COMMITTED, learner.committed_number),
+        ],
         lambda: None,
     )
     done = threading.Event()
 
     def end() -> None:
-        disk.later(done.set)
+        disk.call_in_loop(done.set)
 
-    disk.put([], end)
+    disk.write([], end)
     while disk.pending and later.empty():
         time.sleep(0.0002)  # the loop, with little to do
         now = time.perf_counter()
@@ -152,7 +159,7 @@
     disk.db.close()
     again = Storage(folder, later.put)
     began = time.perf_counter()
-    found: Saved = again.open(("a", "b", "c"), False)
+    found: RecoveredState = again.open(("a", "b", "c"), False)
     opened = time.perf_counter() - began
     acceptor = Acceptor("a", found)
     whole = time.perf_counter() - began
--- a/foxspread/mesh/hollow/sizing.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -194,7 +194,7 @@
     out += message("versions of all records", {"t": "have", "v": versions})
     out += message("asking for all records", {"t": "pull", "at": 1.5, "v": {each: [] for each in versions}})
     out += message("all records", {"t": "news", "at": 1.5, "records": told})
-    changes = [pack_row(*each) for each in learner.since((0, ""))]
+    changes = [pack_row(*each) for each in learner.changed_since((0, ""))]
     out += message("all items", {"t": "news", "at": 1.5, "upto": BALLOT, "age": 0.1, "rows": changes})
     some = told[:: max(1, services // 50)]
     out += message(
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -42,13 +42,15 @@
 from foxspread.mesh.transport.datagrams import DatagramEndpoint
 from foxspread.mesh.transport.peer_connection import PeerConnection
 from foxspread.mesh.health.upstreams import Upstreams
-from foxspread.mesh.replication.quorum_contact import QuorumContact, Report, StartHistory
+from foxspread.mesh.replication.messages import DiskState, MalformedMessageError, Report, decode
+from foxspread.mesh.replication.quorum_contact import DiskHistory, QuorumContact
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
 from foxspread.mesh.replication.storage import Storage
-from foxspread.mesh.replication.replica_server import CUT_OFF_S, ReplicaServer
-from foxspread.mesh.replication.reconfiguration import Reconfiguration, ClusterView as MembersView
-from foxspread.mesh.replication.replica import PATIENCE_S
+from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S, ReplicaServer
+from foxspread.mesh.replication.cluster_view import ClusterView
+from foxspread.mesh.replication.reconfiguration import Reconfiguration
+from foxspread.mesh.replication.replica import CALL_TIMEOUT_S
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.settings import Address, Settings, parse_address, reloaded, read_settings, format_address
 from foxspread.sums import Chance
@@ -87,7 +89,7 @@
         self.replica_server: ReplicaServer | None = None
         self.reconfiguration: Reconfiguration | None = None
         self.quorum_contact = QuorumContact(self.member, int.from_bytes(os.urandom(4), "big"))
-        self.starts = StartHistory()
+        self.disk_history = DiskHistory()
         self.in_quorum_contact = False  # as others were last told
         self.readiness, self.still = Readiness(), PauseDetector(self.clock(), TICK_S)
         self.anti_entropy = AntiEntropy(self._tells)
@@ -152,13 +154,15 @@
             "outbound": self.caller_desk,
         }
         if settings.has_storage:
-            disk = Storage(settings.data_dir, loop.call_soon_threadsafe)
+            storage = Storage(settings.data_dir, loop.call_soon_threadsafe)
             self.replica_server = ReplicaServer(
-                self.clock, self.incarnation, self.chance.draw, disk, self._send_member, self._on_committed
+                self.clock, self.incarnation, self.chance.draw, storage, self._send_member, self._on_committed
             )
-            self.replica_server.others = lambda: self.replicas
+            self.replica_server.reachable_replicas = lambda: self.replicas
             self.reconfiguration = Reconfiguration(self.member, self.incarnation, self.chance.draw)
-            self.replica_server.patience = lambda: PATIENCE_S if self._current() else CUT_OFF_S
+            self.replica_server.call_timeout_s = (
+                lambda: CALL_TIMEOUT_S if self._current() else NO_QUORUM_TIMEOUT_S
+            )
         control.resources["Config"] = ConfigurationResource(
             self.replica_server, self._a_core, lambda: self.still.stale(self.clock())
         )
@@ -180,9 +184,9 @@
         )
         if self.replica_server is not None:
             saved = await loop.run_in_executor(
-                None, self.replica_server.disk.open, tuple(sorted(settings.seeds)), settings.first_start
+                None, self.replica_server.storage.open, tuple(sorted(settings.seeds)), settings.first_start
             )
-            self.replica_server.disk.start()
+            self.replica_server.storage.start()
             self.learner = self.snapshot_transfer.learner = (acceptor := Acceptor(self.member, saved)).learner
             self.replica_server.begin(acceptor)
             self._agreed(self.replica_server.members.of)
@@ -226,7 +230,7 @@
             ):
                 await asyncio.sleep(TICK_S)
         if self.replica_server is not None and self.replica_server.acceptor is not None:
-            while not self.reconfiguration.may_go(self.clock(), self._members_view()):
+            while not self.reconfiguration.may_leave(self.clock(), self._members_view()):
                 await asyncio.sleep(TICK_S)
         for desk in self.desks.values():
             desk.retire()
@@ -306,16 +310,16 @@
         if (
             self.replica_server is None
             or self.replica_server.acceptor is None
-            or not self.replica_server.acceptor.known
+            or not self.replica_server.acceptor.members_known
         ):
             return False  # an empty disk: who the members are is known from seeds only
-        self.quorum_contact.held(self.replica_server.members, self.learner.committed_number)
-        return self.quorum_contact.current(self.clock())
+        self.quorum_contact.update(self.replica_server.members, self.learner.committed_number)
+        return self.quorum_contact.is_current(self.clock())
 
     def _age(self) -> float | None:
         if self.replica_server is None:
             return self.readiness.age(self.clock())
-        return self.quorum_contact.age(self.clock()) if self._current() else None
+        return self.quorum_contact.staleness_s(self.clock()) if self._current() else None
 
     def _report(self) -> Report:
         return self.replica_server.own_report(
@@ -325,27 +329,27 @@
     def _ask_contact(self, now: float) -> None:
         if self.replica_server.acceptor is None:
             return
-        if (asking := self.quorum_contact.ask(now, self._report())) is not None:
-            acceptor = self.replica_server.acceptor
-            told = {"boots": acceptor.start_count, "promised": self.replica_server.durable}
-            asking |= {"life": self.incarnation, "disk": acceptor.disk, **told}
+        acceptor = self.replica_server.acceptor
+        promised = self.replica_server.durable_promise
+        disk = DiskState(self.incarnation, acceptor.disk, acceptor.start_count, promised)
+        if (request := self.quorum_contact.request(now, self._report(), disk)) is not None:
             for name in self.replicas.values():
-                self.connections[name].send(asking)
+                self.connections[name].send(request.packed())
         self._stand()
 
     def _tend_members(self) -> None:
         if self.replica_server.acceptor is not None:
-            self.reconfiguration.tend(self.clock, self._members_view(), self.replica_server.ask)
+            self.reconfiguration.act(self.clock, self._members_view(), self.replica_server.call)
 
-    def _members_view(self) -> MembersView:
+    def _members_view(self) -> ClusterView:
         self._current()  # what is settled here by now counts
-        return MembersView.of(
+        return ClusterView.of(
             self.clock(),
             self._report(),
             self.replica_server.members,
             self.learner,
             self.quorum_contact.reports,
-            self.quorum_contact.age(self.clock()),
+            self.quorum_contact.staleness_s(self.clock()),
             self.settings.tolerate,
             self.settings.tolerate_zones,
         )
@@ -479,7 +483,7 @@
         elif self.connections.get(connection.peer) is connection:
             del self.connections[connection.peer]
             self.anti_entropy.left(connection.peer)
-            self.snapshot_transfer.left(connection.peer)
+            self.snapshot_transfer.on_peer_lost(connection.peer)
             self.connection_manager.down(self.clock(), connection.peer)
             self.replicas = {
                 member: name for member, name in self.replicas.items() if name != connection.peer
@@ -560,7 +564,9 @@
             if (committed_number := versions.pop(COMMITTED_SET, None)) is not None and self._learns_from(
                 connection.peer
             ):
-                self.snapshot_transfer.told(connection.peer, unpack_proposal_number(committed_number))
+                self.snapshot_transfer.on_peer_committed(
+                    connection.peer, unpack_proposal_number(committed_number)
+                )
             self.anti_entropy.told(connection.peer, versions)
             self._noticed(message["v"])
             self._soon()
@@ -570,11 +576,9 @@
             self._take_news(connection.peer, message)
         elif kind == "piece":
             if self._may_tell(connection.peer):
-                connection.send(
-                    SnapshotTransfer.answer(
-                        self.learner, message, self._age(), self._is_replica(connection.peer)
-                    )
-                )
+                to_replica = self._is_replica(connection.peer)
+                reply = SnapshotTransfer.reply(self.learner, decode(message), self._age(), to_replica)
+                connection.send(reply.packed())
         elif kind == "rows":
             self._take_rows(connection.peer, message)
         elif kind == "standing":
@@ -583,20 +587,19 @@
             sender = next(member for member, node in self.replicas.items() if node == connection.peer)
             if kind == "contact":
                 if self.replica_server.acceptor is not None:
-                    disk, promised = (
-                        unpack_proposal_number(message["disk"]),
-                        unpack_proposal_number(message["promised"]),
-                    )
-                    past = self.starts.told(sender, message["life"], disk, message["boots"], promised)
-                    answer = QuorumContact.answer(message, self._report())
-                    connection.send({**answer, "older": message["life"]} if past else answer)
+                    request = decode(message)
+                    if request.disk is None:
+                        raise MalformedMessageError("contact: no disk")
+                    rolled_back = self.disk_history.is_rolled_back(sender, request.disk)
+                    connection.send(QuorumContact.reply(request, self._report(), rolled_back).packed())
             elif kind == "contacted":
-                if message.get("older") == self.incarnation:
-                    self.replica_server.found_older(os.urandom(8).hex())
-                self.quorum_contact.heard(self.clock(), sender, message)
+                reply = decode(message)
+                if reply.rolled_back_incarnation == self.incarnation:
+                    self.replica_server.on_rolled_back(os.urandom(8).hex())
+                self.quorum_contact.receive(self.clock(), sender, reply)
                 self._stand()
             else:
-                self.replica_server.heard(sender, message)
+                self.replica_server.receive(sender, message)
 
     def _met(self, connection: PeerConnection, hello: dict[str, Any]) -> None:
         self.unnamed.discard(connection)
@@ -617,8 +620,8 @@
         connection.send({"t": "have", "v": self.anti_entropy.whole(name)})
         log_event("link", peer=name)
         if hello["member"] and self.replica_server is not None:
-            self.quorum_contact.next_at = now  # it is asked at the next tick
-            self.replica_server.reached(hello["member"])
+            self.quorum_contact.next_request_at = now  # it is asked at the next tick
+            self.replica_server.on_connected(hello["member"])
 
     def _noticed(self, versions: dict[str, list]) -> None:
         told = versions.get(self.settings.node)
@@ -626,7 +629,7 @@
             self.record_incarnation = told[0] + 1  # of an earlier life, by a clock that was ahead
             self._own_record()
         if COMMITTED_SET in versions and self.replica_server is not None:
-            self.replica_server.peer_committed(tuple(versions[COMMITTED_SET]))
+            self.replica_server.on_peer_committed(tuple(versions[COMMITTED_SET]))
 
     def _news(self, peer: str, message: dict[str, Any]) -> dict[str, Any]:
         """Records as they stand; of the settled set how old this copy may be, its rows come in pieces."""
@@ -648,7 +651,7 @@
             if (committed_number := unpack_proposal_number(news["upto"])) <= self.learner.committed_number:
                 self.readiness.told(self.clock(), news["at"], news["age"])
             else:
-                self.snapshot_transfer.told(peer, committed_number)
+                self.snapshot_transfer.on_peer_committed(peer, committed_number)
         for told in news.get("records", ()):
             self._take_record(unpack_record(told))
         self.knows_records = self.knows_records or "records" in news
@@ -656,16 +659,16 @@
 
     def _take_rows(self, peer: str, message: dict[str, Any]) -> None:
         now = self.clock()
-        if (taken := self.snapshot_transfer.heard(now, peer, message)) is not None:
+        if (taken := self.snapshot_transfer.receive(now, peer, decode(message))) is not None:
             if self.replica_server is not None:
-                self.replica_server.learn(taken.committed_number, taken.rows, taken.replaced)
+                self.replica_server.learn(taken.committed_number, taken.rows, taken.complete_set)
             else:
                 rows = map(unpack_row, taken.rows)
-                take = self.learner.replace if taken.replaced else self.learner.fold
+                take = self.learner.replace if taken.complete_set else self.learner.fold
                 if new := take(taken.committed_number, rows):
                     self.event_log.append("settled", new)
                 self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
-                self.readiness.told(now, now, taken.age)
+                self.readiness.told(now, now, taken.staleness_s)
         self._soon()
 
     def _soon(self) -> None:
@@ -685,7 +688,7 @@
         if self.replica_server is None or self.replica_server.acceptor is not None:
             for peer, message in self.snapshot_transfer.step(self.clock()):
                 if peer in self.connections:
-                    self.connections[peer].send(message)
+                    self.connections[peer].send(message.packed())
 
     def _send_member(self, member: str, message: dict[str, Any]) -> bool:
         connection = self.connections.get(self.replicas.get(member, ""))
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -1,239 +1,257 @@
-"""A copy of the settled set, as every sidecar holds one: items, each with the ballot at which it changed,
-and the ballot up to which all is known. What a copy lacks is what has changed since the ballot that it
-tells; it is told in pieces, in the order of ballots (docs/design/catching-up.md).
+"""The committed set of items, as every process holds it (a learner in the terms of Paxos).
+
+Each item carries the proposal number at which it changed last, and the set as a whole the number up to which
+it is complete. What a learner lacks is thus everything that changed after its own number; it is read in the
+order of proposal numbers, in chunks (docs/design/catching-up.md).
 """
 
 from bisect import bisect_right
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import Any
+from typing import NamedTuple
 
 import orjson
 
 from foxspread.mesh.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpack_item
 from foxspread.mesh.errors import InvariantViolation
 
-ProposalNumber = tuple[int, str]  # a number, and the life of the process that chose it: no two alike
-NONE: ProposalNumber = (0, "")
-Row = list  # kind, name, version, content, number and life of the ballot; what is past, where anything is
-Offset = tuple[ProposalNumber, Key]  # of a row in the order of ballots, within one ballot of keys
-LAST: Key = ("\U0010ffff", "")  # after each key of a ballot
+ProposalNumber = tuple[int, str]  # a counter, and the incarnation of the proposer: unique
+NONE: ProposalNumber = (0, "")  # below every proposal
+# A packed committed item: kind, name, version, content, both parts of the proposal number, and the item's
+# past where it has one.
+Row = list
+Offset = tuple[ProposalNumber, Key]  # a position in the order of proposal numbers, then of keys
+LAST: Key = ("\U0010ffff", "")  # after each key of a proposal
 START: Offset = (NONE, LAST)
-PIECE_BYTES = 64 * 1024  # of rows as JSON in one piece; a larger row goes alone
-STALE_MOST = 64  # places that no row stands at any more, beside as many as there are rows
+CHUNK_LIMIT_BYTES = 64 * 1024  # of rows as JSON in one chunk; a larger row travels alone
+STALE_OFFSETS_LIMIT = 64  # offsets without a row, over as many as there are rows, before they are dropped
+
+
+class CommittedItem(NamedTuple):
+    """An item, and the proposal that it changed with."""
+
+    item: Item
+    proposal_number: ProposalNumber
 
 
-def unpack_proposal_number(told: list | tuple) -> ProposalNumber:
-    return int(told[0]), str(told[1])
+def unpack_proposal_number(packed: list | tuple) -> ProposalNumber:
+    """From JSON, which knows no tuples."""
+    return int(packed[0]), str(packed[1])
 
 
-def pack_row(item: Item, at: ProposalNumber) -> Row:
+def pack_row(item: Item, proposal_number: ProposalNumber) -> Row:
+    """A committed item as it is sent and stored."""
     packed = item.packed()
-    return [*packed[:4], *at, *packed[4:]]
+    return [*packed[:4], *proposal_number, *packed[4:]]
 
 
-def unpack_row(told: Row) -> tuple[Item, ProposalNumber]:
-    return unpack_item([*told[:4], *told[6:]]), (told[4], told[5])
+def unpack_row(row: Row) -> CommittedItem:
+    """The reverse of `pack_row`."""
+    return CommittedItem(unpack_item([*row[:4], *row[6:]]), (row[4], row[5]))
 
 
-def offset_of(told: Row) -> Offset:
-    return (told[4], told[5]), (told[0], told[1])
+def offset_of(row: Row) -> Offset:
+    """The position of a row."""
+    return (row[4], row[5]), (row[0], row[1])
 
 
 def end_of_proposal(committed_number: ProposalNumber) -> Offset:
-    """Where all that changed up to and at that ballot has been passed."""
+    """The position after all that changed up to and with that proposal."""
     return committed_number, LAST
 
 
-def pack_offset(place: Offset) -> list | None:
-    """Number and life; with kind and name where not all of that ballot has been passed. None: the start."""
-    at, key = place
-    if place == START:
+def pack_offset(offset: Offset) -> list | None:
+    """Both parts of the number, and kind and name within a proposal; None: the start."""
+    proposal_number, key = offset
+    if offset == START:
         return None
-    return [*at] if key == LAST else [*at, *key]
+    return [*proposal_number] if key == LAST else [*proposal_number, *key]
 
 
-def unpack_offset(told: list | None) -> Offset:
-    return (
-        START
-        if told is None
-        else (unpack_proposal_number(told), (str(told[2]), str(told[3])) if len(told) > 2 else LAST)
-    )
+def unpack_offset(packed: list | None) -> Offset:
+    """The reverse of `pack_offset`."""
+    if packed is None:
+        return START
+    key = (str(packed[2]), str(packed[3])) if len(packed) > 2 else LAST
+    return unpack_proposal_number(packed), key
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """What a teller has after a place, as far as it goes into one message."""
+    """The rows after an offset, as many as go into one message."""
 
     rows: list[Row]
-    committed_number: ProposalNumber  # of the teller: with no more to come, all up to it has been passed
-    more: bool
-    horizon: ProposalNumber  # of the teller: what was dropped up to it may be gone without a trace
+    committed_number: ProposalNumber  # of the source; with `more` False, the chunk reaches up to it
+    more: bool  # rows follow
+    horizon: ProposalNumber  # of the source: what was dropped up to it may be gone without a trace
     digest: str
 
-    def packed(self) -> dict[str, Any]:
-        told = {"rows": self.rows, "upto": self.committed_number, "more": self.more, "digest": self.digest}
-        return told if self.horizon == NONE else {**told, "horizon": self.horizon}
-
 
 def chunk_digest(
     rows: list[Row], after: Offset, committed_number: ProposalNumber, more: bool, horizon: ProposalNumber
 ) -> str:
-    """A digest of all that a piece says, and of where it begins."""
+    """A digest of everything that a chunk says, and of the offset that it begins after."""
     body = orjson.dumps([rows, after, committed_number, more, horizon])
     return blake2b(body, digest_size=12).hexdigest()
 
 
 class Learner:
+    """A committed set. It only grows: `fold` adds what was committed since, `replace` takes a newer set."""
+
     def __init__(self) -> None:
         self.committed_number: ProposalNumber = NONE
         self.items: dict[Key, Item] = {}
-        self.at: dict[Key, ProposalNumber] = {}  # what changed last stands last
-        self.order: list[Offset] = []  # of all in `at`, sorted; some stale
+        self.changed_at: dict[Key, ProposalNumber] = {}  # in order of changes, the newest last
+        self.offsets: list[Offset] = []  # of all in `changed_at`, sorted; some are stale
         self.floor = 0  # items dropped at no higher version and no later than `horizon` are collected
         self.horizon: ProposalNumber = NONE
-        self.clock = 0  # the agreed clock: the largest time that any item has told
-        self.refused_since = 0  # orders refused before that, by this clock, are collected
-        self.collected: list[Key] = []  # not held since the last `fold` or `replace`: a disk drops their rows
-
-    def fold(
-        self, committed_number: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]
-    ) -> list[Item]:
-        """All that changed since `upto` was last folded, at the least; returns what is new here. A version
-        never falls: agreed values only grow, and one that does not breaks all that stands on this."""
+        self.clock = 0  # the agreed clock: the largest time in any item
+        self.refused_since = 0  # refusals from before this time of the agreed clock are collected
+        self.collected: list[Key] = []  # by the last `fold` or `replace`: a storage deletes their rows
+
+    def fold(self, committed_number: ProposalNumber, rows: Iterable[CommittedItem]) -> list[Item]:
+        """Adds rows, which hold at least all that changed since the own number; returns what is new here.
+
+        Raises `InvariantViolation` where a version falls, or has two contents: committed values only grow.
+        """
         new: list[Item] = []
         self.collected = []
-        for item, at in sorted(rows, key=lambda each: (each[1], each[0].key)):
-            if not self.committed_number < at <= committed_number:
+        for item, proposal_number in sorted(rows, key=lambda row: (row[1], row[0].key)):
+            if not self.committed_number < proposal_number <= committed_number:
                 continue
             old = self.items.get(item.key)
             if old is not None and old.version > item.version:
                 raise InvariantViolation(
-                    f"{item.key}: r{old.version} was settled before r{item.version} at {at}"
+                    f"{item.key}: r{old.version} was settled before r{item.version} at {proposal_number}"
                 )
-            if old is not None and _differs(old, item):
+            if old is not None and _contents_differ(old, item):
                 raise InvariantViolation(f"{item.key}: two contents of r{item.version} were settled")
-            if self._put(item, at) and (old is None or old.version != item.version):
+            if self._put(item, proposal_number) and (old is None or old.version != item.version):
                 new.append(item)
         self.committed_number = max(self.committed_number, committed_number)
         if self.collected:
             self.collected = [key for key in dict.fromkeys(self.collected) if key not in self.items]
         return new
 
-    def replace(
-        self, committed_number: ProposalNumber, rows: Iterable[tuple[Item, ProposalNumber]]
-    ) -> list[Item]:
-        """A whole set in the place of this one, which knows too little of what was dropped: what is not in it
-        is gone, and told first, as dropped. Nothing, where this copy is as new."""
+    def replace(self, committed_number: ProposalNumber, rows: Iterable[CommittedItem]) -> list[Item]:
+        """Takes a complete set in place of this one, which lacks drops that the sources have collected.
+
+        Returns what is new here, after the items that are gone, as dropped. Does nothing where this set is
+        as new. Raises `InvariantViolation` like `fold`.
+        """
         if committed_number <= self.committed_number:
             self.collected = []
             return []
         fresh = Learner()
         new = fresh.fold(committed_number, rows)
-        gone = [old for key, old in self.items.items() if key not in fresh.items]
+        old_items = self.items
         for key, item in fresh.items.items():
-            old = self.items.get(key)
-            if old is not None and (old.version > item.version or _differs(old, item)):
+            old = old_items.get(key)
+            if old is not None and (old.version > item.version or _contents_differ(old, item)):
                 raise InvariantViolation(
                     f"{key}: r{old.version} was settled, and now r{item.version} with the whole set"
                 )
-        held = self.items
+        gone = [old for key, old in old_items.items() if key not in fresh.items]
         self.__dict__.update(vars(fresh))
         self.collected = [*fresh.collected, *(old.key for old in gone)]
-        dropped = [
-            Item(*old.key, old.version, None)
-            for old in gone
-            if old.content is not None and old.kind in THEIRS
-        ]
-        return dropped + [
-            each for each in new if each.key not in held or held[each.key].version != each.version
-        ]
-
-    def since(self, proposal_number: ProposalNumber) -> list[tuple[Item, ProposalNumber]]:
-        return list(self._since(proposal_number))[::-1]
-
-    def _since(self, proposal_number: ProposalNumber) -> Iterator[tuple[Item, ProposalNumber]]:
-        for key in reversed(self.at):
-            if self.at[key] <= proposal_number:
+        return _as_dropped(gone) + [item for item in new if _is_news(old_items.get(item.key), item)]
+
+    def changed_since(self, proposal_number: ProposalNumber) -> list[CommittedItem]:
+        """What changed after that proposal, the oldest change first."""
+        return list(self._newest_first(proposal_number))[::-1]
+
+    def _newest_first(self, proposal_number: ProposalNumber) -> Iterator[CommittedItem]:
+        for key in reversed(self.changed_at):
+            if self.changed_at[key] <= proposal_number:
                 return
-            yield self.items[key], self.at[key]
+            yield CommittedItem(self.items[key], self.changed_at[key])
 
-    def piece(self, after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-        """What stands after that place, up to about `most` bytes of JSON; `bare`: as machines without a disk
-        are told it."""
+    def chunk(
+        self, after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, bare: bool = False
+    ) -> SnapshotChunk:
+        """The rows after that offset, up to about `limit_bytes` of JSON; `bare`: only what processes
+        without storage hold."""
         rows, size, more = [], 0, False
-        for number in range(bisect_right(self.order, after), len(self.order)):
-            at, key = self.order[number]
-            if self.at.get(key) != at:
+        for index in range(bisect_right(self.offsets, after), len(self.offsets)):
+            proposal_number, key = self.offsets[index]
+            if self.changed_at.get(key) != proposal_number:
                 continue
             item = self.items[key]
             if bare:
                 if not for_all(item):
                     continue
                 item = item.bare
-            told = pack_row(item, at)
-            size += len(orjson.dumps(told))
-            if rows and size > most:
+            row = pack_row(item, proposal_number)
+            size += len(orjson.dumps(row))
+            if rows and size > limit_bytes:
                 more = True
                 break
-            rows.append(told)
-        return SnapshotChunk(
-            rows,
-            self.committed_number,
-            more,
-            self.horizon,
-            chunk_digest(rows, after, self.committed_number, more, self.horizon),
-        )
-
-    def _put(self, item: Item, at: ProposalNumber) -> bool:
-        """Whether it is held from now on."""
+            rows.append(row)
+        digest = chunk_digest(rows, after, self.committed_number, more, self.horizon)
+        return SnapshotChunk(rows, self.committed_number, more, self.horizon, digest)
+
+    def _put(self, item: Item, proposal_number: ProposalNumber) -> bool:
+        """Whether the item is in the set from now on."""
         if item.kind == KEPT:
-            self._collect(item, at)
+            self._collect(item, proposal_number)
         elif item.kind == REFUSED:
             self.clock = max(self.clock, item.content[2])
             if item.content[2] < self.refused_since:
-                self._gone(item.key)
+                self._delete(item.key)
                 return False
         self.items[item.key] = item
-        self.at.pop(item.key, None)
-        self.at[item.key] = at
-        self.order.append((at, item.key))
-        if len(self.order) > 2 * len(self.at) + STALE_MOST:
-            self.order = [(at, key) for key, at in self.at.items()]
+        self.changed_at.pop(item.key, None)
+        self.changed_at[item.key] = proposal_number
+        self.offsets.append((proposal_number, item.key))
+        if len(self.offsets) > 2 * len(self.changed_at) + STALE_OFFSETS_LIMIT:
+            self.offsets = [(number, key) for key, number in self.changed_at.items()]
         return True
 
-    def _collect(self, kept: Item, at: ProposalNumber) -> None:
-        """By rules that each copy follows at the same ballot, and that ask nothing but the settled set."""
-        if kept.name == "refused":
-            self.refused_since = kept.content["t"]
+    def _collect(self, bound: Item, proposal_number: ProposalNumber) -> None:
+        """Collects garbage by a rule that reads nothing but the committed set, so that every learner does
+        the same at the same proposal."""
+        if bound.name == "refused":
+            self.refused_since = bound.content["t"]
             self.clock = max(self.clock, self.refused_since)
-            gone = [
+            garbage = [
                 key
                 for key, item in self.items.items()
                 if item.kind == REFUSED and item.content[2] < self.refused_since
             ]
-        elif kept.name == "dropped":
-            self.floor, self.horizon = (
-                kept.content["floor"],
-                min(unpack_proposal_number(kept.content["at"]), at),
-            )
-            gone = [
+        elif bound.name == "dropped":
+            self.floor = bound.content["floor"]
+            self.horizon = min(unpack_proposal_number(bound.content["at"]), proposal_number)
+            garbage = [
                 key
                 for key, item in self.items.items()
-                if item.content is None and item.version <= self.floor and self.at[key] <= self.horizon
+                if item.content is None
+                and item.version <= self.floor
+                and self.changed_at[key] <= self.horizon
             ]
         else:
             return
-        for key in gone:
-            self._gone(key)
+        for key in garbage:
+            self._delete(key)
 
-    def _gone(self, key: Key) -> None:
+    def _delete(self, key: Key) -> None:
         if self.items.pop(key, None) is not None:
-            del self.at[key]
+            del self.changed_at[key]
         self.collected.append(key)
 
 
-def _differs(old: Item, new: Item) -> bool:
-    """An order refused anew once its first refusal was collected has another time under the same version."""
+def _contents_differ(old: Item, new: Item) -> bool:
+    """Whether one version has two contents. A refusal may: made anew once the first was collected, it has
+    another time under the same version."""
     return old.version == new.version and old.content != new.content and old.kind != REFUSED
+
+
+def _is_news(old: Item | None, new: Item) -> bool:
+    return old is None or old.version != new.version
+
+
+def _as_dropped(gone: list[Item]) -> list[Item]:
+    """The operator's items among these, each as dropped at its version."""
+    return [
+        Item(*old.key, old.version, None) for old in gone if old.content is not None and old.kind in THEIRS
+    ]
--- /dev/null
+++ b/foxspread/mesh/replication/messages.py
@@ -0,0 +1,102 @@
+"""All messages between replicas, and the codec: `Message.packed` writes one, `decode` reads it.
+
+What is malformed is refused here, and nowhere else, by `MalformedMessageError`.
+"""
+
+from collections.abc import Callable
+
+from foxspread.mesh.replication.paxos_messages import (
+    Prepare,
+    Promise,
+    Accept,
+    Accepted,
+    Nack,
+    StaleEpoch,
+    Behind,
+    Enroll,
+    Enrolled,
+)
+from foxspread.mesh.replication.sync_messages import (
+    DiskState,
+    ContactRequest,
+    Report,
+    ContactReply,
+    SnapshotChunkRequest,
+    SnapshotRows,
+    SnapshotRestart,
+)
+from foxspread.mesh.replication.wire_format import (
+    KIND,
+    START_OVER,
+    Fields,
+    MalformedMessageError,
+)
+
+__all__ = [
+    "Accept",
+    "Accepted",
+    "AcceptorRequest",
+    "Behind",
+    "ContactReply",
+    "ContactRequest",
+    "DECODERS",
+    "DiskState",
+    "Enroll",
+    "Enrolled",
+    "Fields",
+    "MalformedMessageError",
+    "Message",
+    "Nack",
+    "Prepare",
+    "Promise",
+    "ProposerReply",
+    "Report",
+    "SnapshotChunkRequest",
+    "SnapshotReply",
+    "SnapshotRestart",
+    "SnapshotRows",
+    "StaleEpoch",
+    "decode",
+]
+
+
+def _unpack_snapshot_reply(fields: Fields) -> SnapshotRows | SnapshotRestart:
+    return (SnapshotRestart if fields.get(START_OVER) else SnapshotRows).unpacked(fields)
+
+
+AcceptorRequest = Prepare | Accept
+ProposerReply = Promise | Accepted | Nack | StaleEpoch | Behind
+SnapshotReply = SnapshotRows | SnapshotRestart
+Message = (
+    AcceptorRequest
+    | ProposerReply
+    | Enroll
+    | Enrolled
+    | ContactRequest
+    | ContactReply
+    | SnapshotChunkRequest
+    | SnapshotReply
+)
+
+_PLAIN_KINDS = (
+    *(Prepare, Promise, Accept, Accepted, Nack, StaleEpoch, Behind),
+    *(Enroll, Enrolled, ContactRequest, ContactReply, SnapshotChunkRequest),
+)
+DECODERS: dict[str, Callable[[Fields], Message]] = {
+    **{each.kind: each.unpacked for each in _PLAIN_KINDS},
+    SnapshotRows.kind: _unpack_snapshot_reply,
+}
+
+
+def decode(fields: Fields) -> Message | None:
+    """The message that these fields spell; None for a kind that this release does not know.
+
+    Raises `MalformedMessageError` where a field is missing or of another shape.
+    """
+    decoder = DECODERS.get(fields[KIND])
+    if decoder is None:
+        return None
+    try:
+        return decoder(fields)
+    except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
+        raise MalformedMessageError(f"{fields[KIND]}: {error!r}") from error
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -1,273 +1,329 @@
-"""Brings calls into the set: a proposer without I/O. It asks a majority to promise, takes the newest value
-that they tell, merges each call item by item, checks it against the whole, and has a majority accept the
-outcome. Any machine with a disk may do this at any time; who loses a ballot waits a moment by chance and
-asks with a higher one.
+"""Brings calls into the committed set: a proposer of the register, without I/O.
 
-A majority is one of the members as last settled, and, where a change of the members is proposed or may have
+An attempt has the two phases of Paxos. The proposer asks a majority to promise, takes up the newest value
+that they have accepted, merges each pending call into it item by item, checks the outcome as a whole, and has
+a majority accept it. Any machine with storage may propose at any time; one whose number is refused waits a
+random backoff and tries a higher one.
+
+A majority is one of the members as committed last and, where a change of the members is proposed or may have
 been accepted, of those that they change to as well.
 
-What is answered is final: a call is acknowledged, or refused for good, only once the value that it was
-judged on is settled. Without a majority it ends as "not known" at its time, which also is right where its
-proposer dies.
+An outcome is final: a call is acknowledged, or rejected for good, only once the value that it was evaluated
+against is committed. Without a majority, or where its proposer dies, it ends with an unknown outcome.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, ClassVar, NamedTuple
 
-from foxspread.mesh.configuration.items import Item, Key, unpack_item
-from foxspread.mesh.configuration.idempotency import collectable, digest_of_change, apply_change
+from foxspread.mesh.configuration.idempotency import apply_change, collectable, digest_of_change
+from foxspread.mesh.configuration.items import Item, Key
 from foxspread.mesh.errors import Failure, conflict, outcome_unknown
-from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, Message, Write, sound
-from foxspread.mesh.replication.learner import ProposalNumber, unpack_proposal_number, unpack_row
-from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
-
-ROUND_S = 0.45  # for a majority to answer one message: two syncs of a slow disk
-PAUSE_S = 0.012  # after a lost ballot, by chance up to that, doubling
-PAUSE_MOST_S = 0.2
-SLOWER = 0.98  # the agreed clock goes no faster than the slowest steady clock by this much
+from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, current_replies
+from foxspread.mesh.replication.learner import CommittedItem, ProposalNumber, Row, unpack_row
+from foxspread.mesh.replication.membership import MemberSet, differs_by_one, is_quorum, member_set_of
+from foxspread.mesh.replication.messages import (
+    Accept,
+    Accepted,
+    AcceptorRequest,
+    Behind,
+    Nack,
+    Prepare,
+    Promise,
+    ProposerReply,
+    StaleEpoch,
+)
+from foxspread.mesh.replication.stored_state import Write
+
+PHASE_TIMEOUT_S = 0.45  # for a majority to answer one message: two syncs of a slow disk
+BACKOFF_INITIAL_S = 0.012  # after a lost attempt, at random up to that, doubling
+BACKOFF_LIMIT_S = 0.2
+BACKOFF_DOUBLINGS_LIMIT = 6
+CLOCK_RATE = 0.98  # of the agreed clock by a steady one: it goes no faster than the slowest of those
+
+Outcome = bool | Failure  # True: committed, or for a read, up to date
 
 
 @dataclass(slots=True)
 class PendingCall:
-    token: Any
+    """A call that waits for its outcome."""
+
+    token: Any  # of the caller
     items: list[Item]
-    until: float
-    named: str = ""  # the digest of what it says
-    outcome: bool | Failure | None = None
+    deadline: float
+    digest: str = ""  # of its items, by which a repetition is recognised
+    outcome: Outcome | None = None
+
+
+class Outgoing(NamedTuple):
+    """A message, and the member that it goes to."""
+
+    to: str
+    message: AcceptorRequest
+
+
+class CompletedCall(NamedTuple):
+    """The token of a call, and how it ended."""
+
+    token: Any
+    outcome: Outcome
 
 
 @dataclass(slots=True)
 class ProposerOutput:
-    """What is to be done, in this order: written, sent, told."""
+    """What to do, in this order: write, send, complete calls."""
 
     writes: list[Write] = field(default_factory=list)
-    sends: list[tuple[str, Message]] = field(default_factory=list)
-    done: list[tuple[Any, bool | Failure]] = field(default_factory=list)
-    new: list[Item] = field(default_factory=list)  # settled items that are new here
+    sends: list[Outgoing] = field(default_factory=list)
+    completed: list[CompletedCall] = field(default_factory=list)
+    new_items: list[Item] = field(default_factory=list)  # committed, and new here
 
 
 class Proposer:
+    """The proposer of one machine, beside its acceptor."""
+
     def __init__(self, acceptor: Acceptor, incarnation: str, draw: Callable[[], float]) -> None:
+        """`draw`: a random number from 0 up to 1."""
         self.acceptor, self.incarnation, self.draw = acceptor, incarnation, draw
-        self.seen = 0
-        self.waiting: list[PendingCall] = []
-        self.running: list[PendingCall] = []
-        self.proposal_number: ProposalNumber | None = None  # of the round that is under way
-        self.asked: set[str] = set()  # whom, in this round
-        self.sets: list[MemberSet] = []  # majorities of all these choose the value proposed
-        self.promises: dict[str, Message] = {}
-        self.accepts: dict[str, Message] = {}
-        self.value: dict[Key, Item] | None = None  # the delta proposed; None while preparing
-        self.round_until = self.start_at = 0.0
-        self.losses = 0
-        self.wanted = False  # a round without a call: what is unsettled is to be settled
-        self.noticed = (0.0, 0.0)  # the newest time of the agreed clock, and when it was seen here
+        self.highest_seen = 0  # the highest counter of a proposal number that this proposer has met
+        self.waiting: list[PendingCall] = []  # for the next attempt
+        self.running: list[PendingCall] = []  # in the current one
+        self.proposal_number: ProposalNumber | None = None  # of the attempt; None: there is none
+        self.recipients: set[str] = set()  # of this attempt's messages
+        self.member_sets: list[MemberSet] = []  # a majority of each chooses the value
+        self.promises: dict[str, Promise] = {}
+        self.acceptances: dict[str, Accepted] = {}
+        self.proposed_delta: dict[Key, Item] | None = None  # None: the attempt is in its first phase
+        self.phase_deadline = self.next_attempt_at = 0.0
+        self.lost_attempts = 0
+        self.attempt_requested = False  # without a call: to commit what is accepted and uncommitted
+        self.clock_seen = (0.0, 0.0)  # the newest time of the agreed clock, and when it was seen here
 
     # Inputs.
 
-    def submit(self, now: float, token: Any, items: Iterable[Item], until: float) -> ProposerOutput:
-        """`until`: when it ends as not known. No items: a read, done once this copy holds all that is
-        settled."""
+    def submit(self, now: float, token: Any, items: Iterable[Item], deadline: float) -> ProposerOutput:
+        """A call that ends with an unknown outcome at `deadline`. Without items it is a read, complete once
+        this committed set holds all that was committed before."""
         items = list(items)
-        self.waiting.append(PendingCall(token, items, until, digest_of_change(items) if items else ""))
+        self.waiting.append(PendingCall(token, items, deadline, digest_of_change(items) if items else ""))
         return self.tick(now)
 
-    def nudge(self, now: float) -> ProposerOutput:
-        self.wanted = True
+    def request_attempt(self, now: float) -> ProposerOutput:
+        """An attempt without a call: what was accepted here and is not committed gets committed."""
+        self.attempt_requested = True
         return self.tick(now)
 
     def tick(self, now: float) -> ProposerOutput:
+        """Whatever is due by now; at `wake_at`, or as often as one likes."""
         out = ProposerOutput()
-        if (clock := self.acceptor.learner.clock) > self.noticed[0]:
-            self.noticed = clock, now
-        self._expire(now, out)
-        if self.proposal_number is not None and now >= self.round_until:
-            self._lost(now, 0.0)
-        if (
-            self.proposal_number is None
-            and now >= self.start_at
-            and (self.waiting or self.running or self.wanted)
-        ):
-            self._begin(now, out)
+        if (clock := self.acceptor.learner.clock) > self.clock_seen[0]:
+            self.clock_seen = clock, now
+        self._expire_calls(now, out)
+        if self.proposal_number is not None and now >= self.phase_deadline:
+            self._back_off(now, 0.0)
+        if self.proposal_number is None and now >= self.next_attempt_at and self._has_work:
+            self._start_attempt(now, out)
         return out
 
-    def reached(self, member: str) -> ProposerOutput:
-        """A link to that member has come up: it may have missed what is being asked."""
+    def on_connected(self, member: str) -> ProposerOutput:
+        """A connection to that member has come up: it may have missed the message of this phase."""
         out = ProposerOutput()
-        if self.proposal_number is not None and member in self.asked:
-            out.sends.append((member, self._prepare() if self.value is None else self._accept_of(member)))
+        if self.proposal_number is not None and member in self.recipients:
+            first_phase = self.proposed_delta is None
+            out.sends.append(Outgoing(member, self._prepare() if first_phase else self._accept_for(member)))
         return out
 
     def wake_at(self) -> float | None:
-        times = [call.until for call in (*self.waiting, *self.running)]
+        """When the next `tick` is due; None: not before another input."""
+        times = [call.deadline for call in (*self.waiting, *self.running)]
         if self.proposal_number is not None:
-            times.append(self.round_until)
-        elif self.waiting or self.running or self.wanted:
-            times.append(self.start_at)
+            times.append(self.phase_deadline)
+        elif self._has_work:
+            times.append(self.next_attempt_at)
         return min(times, default=None)
 
-    def heard(self, now: float, sender: str, message: Message) -> ProposerOutput:
-        out, kind = ProposerOutput(), message["t"]
-        if sender not in self.asked:
-            return out
-        if kind == "nack":
-            self.seen = max(self.seen, message["promised"][0])
-        if self.proposal_number is None or unpack_proposal_number(message["b"]) != self.proposal_number:
+    def receive(self, now: float, sender: str, message: ProposerReply) -> ProposerOutput:
+        """A member's reply; one to an attempt that is over changes nothing."""
+        out = ProposerOutput()
+        if sender not in self.recipients:
             return out
-        if kind == "nack":
-            self._lost(now, self.draw())
-        elif kind == "stale":
-            self._learn(message, out)
-            self._lost(now, self.draw())
-        elif kind == "promise" and self.value is None:
-            self.promises[sender] = message
-            self._promised(now, out)
-        elif kind == "behind" and self.value is not None:
-            if (accept := self._accept(unpack_proposal_number(message["s"])))["ahead"] is not None:
-                out.sends.append((sender, accept))  # else it takes what it lacks in pieces
-        elif kind == "accepted" and self.value is not None:
-            self.accepts[sender] = message
-            if is_quorum(self.sets, sound(self.accepts)):
-                self._chosen(now, out)
+        if isinstance(message, Nack):
+            self.highest_seen = max(self.highest_seen, message.promised[0])
+        if self.proposal_number is not None and message.proposal_number == self.proposal_number:
+            self._HANDLERS[type(message)](self, now, sender, message, out)
         return out
 
-    # A round.
+    @property
+    def _has_work(self) -> bool:
+        return bool(self.waiting or self.running or self.attempt_requested)
+
+    # Replies, by their type.
+
+    def _on_nack(self, now: float, sender: str, message: Nack, out: ProposerOutput) -> None:
+        self._back_off(now, self.draw())
 
-    def _expire(self, now: float, out: ProposerOutput) -> None:
+    def _on_stale_epoch(self, now: float, sender: str, message: StaleEpoch, out: ProposerOutput) -> None:
+        self._learn(message.committed_number, message.missing_rows, out)
+        self._back_off(now, self.draw())
+
+    def _on_promise(self, now: float, sender: str, message: Promise, out: ProposerOutput) -> None:
+        if self.proposed_delta is None:
+            self.promises[sender] = message
+            self._count_promises(now, out)
+
+    def _on_behind(self, now: float, sender: str, message: Behind, out: ProposerOutput) -> None:
+        if self.proposed_delta is None:
+            return
+        accept = self._accept(message.committed_number)
+        if accept.missing_rows is not None:  # else it reads a snapshot first
+            out.sends.append(Outgoing(sender, accept))
+
+    def _on_accepted(self, now: float, sender: str, message: Accepted, out: ProposerOutput) -> None:
+        if self.proposed_delta is None:
+            return
+        self.acceptances[sender] = message
+        if is_quorum(self.member_sets, current_replies(self.acceptances)):
+            self._commit(now, out)
+
+    _HANDLERS: ClassVar[dict[type, Callable[..., None]]] = {
+        Nack: _on_nack,
+        StaleEpoch: _on_stale_epoch,
+        Promise: _on_promise,
+        Behind: _on_behind,
+        Accepted: _on_accepted,
+    }
+
+    # An attempt.
+
+    def _expire_calls(self, now: float, out: ProposerOutput) -> None:
         for calls in (self.waiting, self.running):
-            for call in [each for each in calls if now >= each.until]:
+            for call in [each for each in calls if now >= each.deadline]:
                 calls.remove(call)
-                out.done.append((call.token, outcome_unknown("no majority in time")))
-
-    def _begin(self, now: float, out: ProposerOutput) -> None:
-        self.seen = max(self.seen, self.acceptor.promised[0], self.acceptor.learner.committed_number[0]) + 1
-        self.proposal_number, self.value, self.promises, self.accepts = (
-            (self.seen, self.incarnation),
-            None,
-            {},
-            {},
-        )
-        self.round_until, self.wanted = now + ROUND_S, False
+                out.completed.append(CompletedCall(call.token, outcome_unknown("no majority in time")))
+
+    def _start_attempt(self, now: float, out: ProposerOutput) -> None:
+        acceptor = self.acceptor
+        highest = max(self.highest_seen, acceptor.promised[0], acceptor.learner.committed_number[0])
+        self.highest_seen = highest + 1
+        self.proposal_number = self.highest_seen, self.incarnation
+        self.proposed_delta, self.promises, self.acceptances = None, {}, {}
+        self.phase_deadline, self.attempt_requested = now + PHASE_TIMEOUT_S, False
         self.running += self.waiting
-        self.waiting, self.asked = [], set()
-        self._ask([self.acceptor.members], out)
-
-    def _ask(self, sets: list[MemberSet], out: ProposerOutput) -> None:
-        """All of these that have not been asked in this round."""
-        ask = self._prepare()
-        for member in (member for each in sets for member in each.of):
-            if member not in self.asked:
-                self.asked.add(member)
-                out.sends.append((member, ask))
-
-    def _prepare(self) -> Message:
-        return {
-            "t": "prepare",
-            "b": self.proposal_number,
-            "e": self.acceptor.epoch,
-            "s": self.acceptor.learner.committed_number,
-        }
-
-    def _learn(self, told: Message, out: ProposerOutput) -> bool:
-        """What another has settled beyond this copy; False where that is too much for its message."""
-        if unpack_proposal_number(told["s"]) <= self.acceptor.learner.committed_number:
+        self.waiting, self.recipients = [], set()
+        self._send_prepare([acceptor.members], out)
+
+    def _send_prepare(self, sets: list[MemberSet], out: ProposerOutput) -> None:
+        """To all members of these sets that this attempt has not reached out to."""
+        message = self._prepare()
+        for member in (member for members in sets for member in members.of):
+            if member not in self.recipients:
+                self.recipients.add(member)
+                out.sends.append(Outgoing(member, message))
+
+    def _prepare(self) -> Prepare:
+        return Prepare(self.proposal_number, self.acceptor.epoch, self.acceptor.learner.committed_number)
+
+    def _learn(
+        self, committed_number: ProposalNumber, missing_rows: list[Row] | None, out: ProposerOutput
+    ) -> bool:
+        """Takes in what a reply brought of the committed set; False where it was too much for a message."""
+        if committed_number <= self.acceptor.learner.committed_number:
             return True
-        if told["ahead"] is None:
+        if missing_rows is None:
             return False
-        writes, new = self.acceptor.learn(unpack_proposal_number(told["s"]), map(unpack_row, told["ahead"]))
-        out.writes += writes
-        out.new += new
+        learned = self.acceptor.learn(committed_number, map(unpack_row, missing_rows))
+        out.writes += learned.writes
+        out.new_items += learned.new_items
         return True
 
-    def _promised(self, now: float, out: ProposerOutput) -> None:
-        """Whether enough have promised: a majority of the members, and of those that they may be changing
-        to."""
-        acceptor, promises = self.acceptor, sound(self.promises)
-        newest = max(promises.values(), key=lambda each: unpack_proposal_number(each["s"]), default=None)
-        if newest is not None and not self._learn(newest, out):
-            return self._lost(now, 1.0)  # what is lacking comes in pieces
+    def _count_promises(self, now: float, out: ProposerOutput) -> None:
+        """Proposes once a majority of the members, and of those that they may be changing to, has
+        promised."""
+        acceptor, promises = self.acceptor, current_replies(self.promises)
+        newest = max(promises.values(), key=lambda promise: promise.committed_number, default=None)
+        if newest is not None and not self._learn(newest.committed_number, newest.missing_rows, out):
+            return self._back_off(now, 1.0)  # until a snapshot has brought what is missing
         sets = [acceptor.members]
-        last = max(promises.values(), key=lambda each: unpack_proposal_number(each["acc"]), default=None)
-        if last is not None and unpack_proposal_number(last["acc"]) > acceptor.learner.committed_number:
-            changes = [item for item in map(unpack_item, last["delta"]) if item.key == MEMBERS_KEY]
+        last = max(promises.values(), key=lambda promise: promise.accepted, default=None)
+        if last is not None and last.accepted > acceptor.learner.committed_number:
+            changes = [item for item in last.delta if item.key == MEMBERS_KEY]
             sets += [member_set_of(item) for item in changes if item.version > acceptor.epoch]
-        self._ask(sets, out)
+        self._send_prepare(sets, out)
         if is_quorum(sets, promises):
             self.promises = promises
             self._propose(now, out)
 
-    def _lost(self, now: float, draw: float) -> None:
-        self.proposal_number, self.losses = None, min(self.losses + 1, 6)
-        self.wanted = self.wanted or not self.running
-        self.start_at = now + draw * min(PAUSE_MOST_S, PAUSE_S * 2**self.losses)
+    def _back_off(self, now: float, draw: float) -> None:
+        """Ends the attempt; the next one begins after `draw` times the backoff."""
+        self.proposal_number = None
+        self.lost_attempts = min(self.lost_attempts + 1, BACKOFF_DOUBLINGS_LIMIT)
+        self.attempt_requested = self.attempt_requested or not self.running
+        backoff = min(BACKOFF_LIMIT_S, BACKOFF_INITIAL_S * 2**self.lost_attempts)
+        self.next_attempt_at = now + draw * backoff
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
         acceptor = self.acceptor
-        last = max(self.promises.values(), key=lambda each: unpack_proposal_number(each["acc"]))
-        held, delta = acceptor.learner.items, {}
-        open_before = (
-            unpack_proposal_number(last["acc"]) > acceptor.learner.committed_number
-        )  # it may be settled, unknown to us: it goes on
-        if open_before:
-            delta = {item.key: item for item in map(unpack_item, last["delta"]) if held.get(item.key) != item}
+        committed, delta = acceptor.learner.items, {}
+        last = max(self.promises.values(), key=lambda promise: promise.accepted)
+        in_doubt = last.accepted > acceptor.learner.committed_number
+        if in_doubt:  # it may be committed without our knowing: the proposal carries it on
+            delta = {item.key: item for item in last.delta if committed.get(item.key) != item}
         for call in self.running:
-            changes, call.outcome = self._judged({**held, **delta} if delta else held, delta, call, now)
+            proposed = {**committed, **delta} if delta else committed
+            changes, call.outcome = self._evaluate(proposed, delta, call, now)
             delta.update(changes)
         if delta:
-            delta.update(collectable({**held, **delta}, acceptor.learner.at))
-        if not delta and not open_before:
-            return self._tell(out)
-        self.value, self.round_until = delta, now + ROUND_S
-        self.sets = [acceptor.members]
+            delta.update(collectable({**committed, **delta}, acceptor.learner.changed_at))
+        if not delta and not in_doubt:
+            return self._complete_calls(out)
+        self.proposed_delta, self.phase_deadline = delta, now + PHASE_TIMEOUT_S
+        self.member_sets = [acceptor.members]
         if (change := delta.get(MEMBERS_KEY)) is not None:
-            self.sets.append(member_set_of(change))
-        for member in dict.fromkeys(member for each in self.sets for member in each.of):
-            self.asked.add(member)
-            out.sends.append((member, self._accept_of(member)))
-
-    def _judged(
-        self, both: dict[Key, Item], delta: dict[Key, Item], call: PendingCall, now: float
-    ) -> tuple[dict[Key, Item], bool | Failure]:
-        """`both`: what is settled and what this value adds to it, the latter alone in `delta`."""
-        acceptor, by_key = self.acceptor, {item.key: item for item in call.items}
+            self.member_sets.append(member_set_of(change))
+        for member in dict.fromkeys(member for members in self.member_sets for member in members.of):
+            self.recipients.add(member)
+            out.sends.append(Outgoing(member, self._accept_for(member)))
+
+    def _evaluate(
+        self, proposed: dict[Key, Item], delta: dict[Key, Item], call: PendingCall, now: float
+    ) -> tuple[dict[Key, Item], Outcome]:
+        """What a call adds to the proposed value, and its outcome if that is committed. `proposed`: the
+        committed set with `delta` over it."""
+        by_key = {item.key: item for item in call.items}
         if (change := by_key.get(MEMBERS_KEY)) is not None:
             if MEMBERS_KEY in delta:
                 return {}, outcome_unknown("another change of members is not settled yet")
-            if not differs_by_one(acceptor.members, member_set_of(change)):
+            if not differs_by_one(self.acceptor.members, member_set_of(change)):
                 return {}, conflict("members change by one machine at a time")
-        clock, at = self.noticed
-        return apply_change(both, call.items, call.named, clock + SLOWER * max(0.0, now - at))
+        clock, seen_at = self.clock_seen
+        agreed_time = clock + CLOCK_RATE * max(0.0, now - seen_at)
+        return apply_change(proposed, call.items, call.digest, agreed_time)
 
-    def _accept_of(self, member: str) -> Message:
+    def _accept_for(self, member: str) -> Accept:
         promise = self.promises.get(member)
-        return self._accept(
-            unpack_proposal_number(promise["s"]) if promise else self.acceptor.learner.committed_number
+        return self._accept(promise.committed_number if promise else self.acceptor.learner.committed_number)
+
+    def _accept(self, missing_since: ProposalNumber) -> Accept:
+        """For an acceptor whose committed set is as of `missing_since`."""
+        # More may be committed by now than at the proposal: the delta may be laid over that as well.
+        return Accept(
+            self.proposal_number,
+            self.acceptor.epoch,
+            self.acceptor.learner.committed_number,
+            tuple(self.proposed_delta.values()),
+            {member: promise.disks[member] for member, promise in self.promises.items()},
+            missing_since,
+            self.acceptor.rows_since(missing_since),
         )
 
-    def _accept(self, since: ProposalNumber) -> Message:
-        """For one whose settled set is as of `since`."""
-        learner = (
-            self.acceptor.learner
-        )  # may know more by now than at the proposal: the delta goes over that too
-        return {
-            "t": "accept",
-            "b": self.proposal_number,
-            "e": self.acceptor.epoch,
-            "s": learner.committed_number,
-            "delta": [item.packed() for item in self.value.values()],
-            "disks": {member: promise["disks"][member] for member, promise in self.promises.items()},
-            "since": since,
-            "ahead": self.acceptor.rows(since),
-        }
-
-    def _chosen(self, now: float, out: ProposerOutput) -> None:
-        at = self.proposal_number
-        writes, new = self.acceptor.learn(at, [(item, at) for item in self.value.values()])
-        out.writes += writes
-        out.new += new
-        self._tell(out)
-
-    def _tell(self, out: ProposerOutput) -> None:
-        out.done += [(call.token, call.outcome) for call in self.running]
-        self.running, self.proposal_number, self.losses, self.start_at = [], None, 0, 0.0
+    def _commit(self, now: float, out: ProposerOutput) -> None:
+        number = self.proposal_number
+        rows = [CommittedItem(item, number) for item in self.proposed_delta.values()]
+        learned = self.acceptor.learn(number, rows)
+        out.writes += learned.writes
+        out.new_items += learned.new_items
+        self._complete_calls(out)
+
+    def _complete_calls(self, out: ProposerOutput) -> None:
+        out.completed += [CompletedCall(call.token, call.outcome) for call in self.running]
+        self.running, self.proposal_number, self.lost_attempts, self.next_attempt_at = [], None, 0, 0.0
--- a/foxspread/mesh/replication/reconfiguration.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -1,220 +1,222 @@
-"""Which machine comes into the set of members, or goes out of it, next: a duty under a majority lease.
-Without I/O: clock, chance and reports are handed in; what is returned is put to the register, and its outcome
-told.
-
-From the seeds the set grows to the size that bears what has to be borne, spread over zones; who is gone, and
-who leaves, is replaced by a standby that has caught up, in first, then out; whoever comes back stands by.
-docs/design/members.md has the argument for each size and figure.
-
-The lease is an item of the register, changed by compare and set, and written only when there is something to
-do. A holder acts for `LEASE_S` from its asking, by its own steady clock; others take the lease over once they
-have seen the same version unchanged for a quarter longer. What keeps a late holder out is the number: each
-change of the set is one call with the next version of the lease, which fails where another has taken it.
+"""Which machine joins the member set, or leaves it, next: decided by one machine under a lease.
+
+Without I/O: time, chance and reports are handed in; what is returned is submitted to the register, and its
+outcome handed back.
+
+From the seeds the set grows to the size that bears the configured losses, spread over zones. A member that is
+gone, or leaving, is replaced by a standby that has caught up: first in, then out. One that comes back is a
+standby. docs/design/members.md has the argument for each size and figure.
+
+The lease is an item of the register, changed by compare-and-set, and written only when there is something
+to do. A holder acts for `LEASE_S` from its request, by its own steady clock; others take the lease over once
+they have seen the same version unchanged for a quarter longer. What keeps a late holder out is the version,
+as a fencing token: each change of the set is one call with the next version of the lease, which fails where
+another has taken it.
 """
 
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item
 from foxspread.mesh.log import log_event
-from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.quorum_contact import Report
-from foxspread.mesh.replication.learner import ProposalNumber, Learner
-from foxspread.mesh.replication.membership import MemberSet, membership_change, is_quorum
-
-LEAST = 3  # members, where there are so many machines: fewer bear nothing
-FRESH_S = 1.0  # a report older than that says nothing
-LAG_S = 0.5  # between an asking here and when its answer is weighed: what was settled since is not in it
-CONTACT_S = 1.0  # whoever has had no contact with a majority for that long decides nothing
-GONE_S = 2.0  # unheard by a majority for so long: gone, and replaced if one stands by
-MUTE_S = 4.0  # heard, but without a vote or with an older set for so long: as good as gone
-JOIN_S = 1.0  # a standby is well for so long before it is named
-BACK_S = 3.0  # one that was lost within `LATELY_S`, for so long
-LATELY_S = 30.0
-LEASE_S = 1.0  # from its asking
-OVER = 1.25  # times `LEASE_S`, unchanged: another may take it
-SPARE_S = 0.1  # so long before its end a holder stops
-STAGGER_S = 0.35  # for each that is to act before: over the 0.3 s between two reports
-PAUSE_S = 0.1  # after a failure, doubling, by chance between half and all of it
-PAUSE_MOST_S = 2.0
-CHANGES_MOST = 8  # of the set, in `CHANGES_S`, that this process has seen; beyond, it waits
-CHANGES_S = 20.0
-GAP_S = 0.5  # between two steps: longer, and what was seen before it is not carried on
-LEAVE_S = 2.5  # so long a leaving member waits for its replacement, and for others to hold what it holds
-
-
-@dataclass(frozen=True, slots=True)
-class ClusterView:
-    """What is known here at one time. A change of what is in it, by another process, is not waited for."""
-
-    me: str
-    members: MemberSet
-    lease: Item | None  # as settled here
-    reports: Mapping[str, tuple[float, Report]]  # of keepers, this one too: when heard, and what
-    committed_number: ProposalNumber  # of this machine's settled set
-    machines: int = 1  # to be borne at once
-    zones: int = 0
-    age: float | None = None  # seconds since the last contact with a majority; None: none yet
-
-    @classmethod
-    def of(
-        cls,
-        now: float,
-        own: Report,
-        members: MemberSet,
-        learner: Learner,
-        heard: Mapping[str, tuple[Report, float]],
-        age: float | None,
-        machines: int,
-        zones: int,
-    ) -> "ClusterView":
-        """`heard`: the newest report of each other keeper, and when it came, as `Contact` has them."""
-        reports = {name: (at, report) for name, (report, at) in heard.items()}
-        reports[own.member] = now, own
-        lease = learner.items.get((LEASE, MEMBERS))
-        return cls(own.member, members, lease, reports, learner.committed_number, machines, zones, age)
+from foxspread.mesh.replication.cluster_view import REPORT_FRESH_S, ClusterView
+from foxspread.mesh.replication.learner import ProposalNumber
+from foxspread.mesh.replication.membership import MemberSet, is_quorum, membership_change
+from foxspread.mesh.replication.proposer import Outcome
+from foxspread.mesh.replication.messages import Report
+from foxspread.mesh.replication.placement import evens_out_zones, target_size, without_one
+
+REPORT_LAG_S = 0.5  # from a request until its reply is evaluated: what was committed since is not in it
+CONTACT_STALENESS_LIMIT_S = 1.0  # a machine without a quorum for longer decides nothing
+UNHEARD_LIMIT_S = 2.0  # a member that a majority has not heard for so long is gone
+UNFIT_LIMIT_S = 4.0  # one that is heard, but without a vote or with an older set for so long, as well
+STANDBY_FIT_S = 1.0  # a standby is fit for so long before it may join
+RETURNED_FIT_S = 3.0  # one that was lost within `RECENTLY_LOST_S`, for so long
+RECENTLY_LOST_S = 30.0
+LEASE_S = 1.0  # from its request
+LEASE_TAKEOVER_FACTOR = 1.25  # times `LEASE_S`, unchanged: another may take it
+LEASE_MARGIN_S = 0.1  # so long before its end a holder stops
+TURN_S = 0.35  # for each member that is to act before this one: over the 0.3 s between two reports
+BACKOFF_INITIAL_S = 0.1  # after a failure, doubling, at random between half and all of it
+BACKOFF_LIMIT_S = 2.0
+BACKOFF_DOUBLINGS_LIMIT = 8
+CHANGES_LIMIT = 8  # of the set, in `CHANGES_WINDOW_S`, that this process has seen; beyond, it waits
+CHANGES_WINDOW_S = 20.0
+STEP_GAP_LIMIT_S = 0.5  # between two steps: longer, and what was observed before does not count
+LEAVE_TIMEOUT_S = 2.5  # so long a leaving member waits for its replacement, and for others to catch up
 
 
 @dataclass(slots=True)
 class SubmittedChange:
+    """A call whose outcome is not known yet."""
+
     at: float
-    lease: int  # the version asked for
+    lease_version: int  # that it asks for
+
 
+class LeaseVersion(NamedTuple):
+    """A version of the lease, and a time: since when it was seen, or until when it is acted under."""
 
-def target_size(machines: int, zones: int, of: Mapping[str, str]) -> int:
-    """Members that bear the loss of so many machines, or of so many zones; `of`: the zones of the keepers.
-    With fewer zones than two for each to be lost, and one, no number bears it."""
-    size, there = max(LEAST, 2 * machines + 1, 2 * zones + 1), len(set(of.values()))
-    if zones and there > 2 * zones:
-        while sum(sorted(_spread(size, there))[-zones:]) > size // 2:
-            size += 2
-    return size
+    version: int
+    at: float
 
 
-def _spread(size: int, zones: int) -> list[int]:
-    return [size // zones + (place < size % zones) for place in range(zones)]
+class Need(NamedTuple):
+    """Since when there is something to do, and the random part of this machine's turn (0 to 1)."""
+
+    since: float
+    jitter: float
+
+
+class CommittedAt(NamedTuple):
+    """A committed number, and when it was reached here."""
+
+    at: float
+    committed_number: ProposalNumber
 
 
 class Reconfiguration:
+    """The part of one machine in changes of the member set."""
+
     def __init__(self, me: str, incarnation: str, draw: Callable[[], float]) -> None:
-        """`draw`: a number from 0 up to 1."""
+        """`draw`: a random number from 0 up to 1."""
         self.me, self.incarnation, self.draw = me, incarnation, draw
-        self.asked: SubmittedChange | None = None
-        self.held: tuple[int, float] | None = None  # version of the lease, and until when it is acted on
-        self.lease: tuple[int, float] = (-1, 0.0)  # the version seen, and since when
-        self.need: tuple[float, float] | None = (
-            None  # since when there is something to do; own share of chance
-        )
-        self.failures, self.pause_until = 0, 0.0
-        self.epochs: deque[float] = deque()  # when a new set was seen
+        self.submitted: SubmittedChange | None = None
+        self.own_lease: LeaseVersion | None = None  # until when this machine may act under it
+        self.seen_lease = LeaseVersion(-1, 0.0)
+        self.need: Need | None = None
+        self.failures, self.backoff_until = 0, 0.0
+        self.change_times: deque[float] = deque()  # when a new member set was seen
         self.epoch: int | None = None
-        self.stepped: float | None = None
-        self.missed: dict[str, float] = {}  # members that a majority does not hear, since when
-        self.dumb: dict[str, float] = {}  # members that are heard but not well, since when
-        self.well: dict[str, float] = {}  # standbys without a flaw, since when
-        self.lost: dict[str, float] = {}  # keepers that were missed, when last; kept for `LATELY_S`
+        self.last_step_at: float | None = None
+        self.unheard_since: dict[str, float] = {}  # members that a majority does not hear
+        self.unfit_since: dict[str, float] = {}  # members that are heard but not fit
+        self.standby_since: dict[str, float] = {}  # replicas that could join
+        self.lost_at: dict[str, float] = {}  # when a replica was last unheard, for `RECENTLY_LOST_S`
         self.leaving_since: float | None = None
-        self.committed: deque[tuple[float, ProposalNumber]] = deque()  # since when that much is settled here
+        self.committed_history: deque[CommittedAt] = deque()
+
+    # Inputs.
 
-    def tend(
+    def act(
         self,
         clock: Callable[[], float],
         view: ClusterView,
-        ask: Callable[[list[Item], Callable[[bool | Failure], None]], object],
+        submit: Callable[[list[Item], Callable[[Outcome], None]], object],
     ) -> None:
-        """One step, its call put to the register by `ask`, and the outcome told."""
+        """One step, with its call handed to `submit`."""
         if (items := self.step(clock(), view)) is not None:
-            ask(items, lambda outcome: self.told(clock(), outcome))
-
-    # Inputs.
+            submit(items, lambda outcome: self.on_outcome(clock(), outcome))
 
     def step(self, now: float, view: ClusterView) -> list[Item] | None:
-        """A call to be put to the register, with its outcome to `told`; None: nothing is to be done now."""
-        self._see(now, view)
-        if self.asked is not None or not self._fit(now, view):
+        """A call for the register, whose outcome goes to `on_outcome`; None: nothing to do now."""
+        self._observe(now, view)
+        if self.submitted is not None or not self._may_decide(now, view):
             return None
-        change = self.next(now, view)
+        change = self.next_members(now, view)
         if change is None:
             self.need = None
             return None
         if self.need is None:
-            self.need = now, self.draw()
-        if now < self.pause_until:
+            self.need = Need(now, self.draw())
+        if now < self.backoff_until:
             return None
-        version = view.lease.version if view.lease is not None else 0
-        if self.held is not None and self.held[0] == version and now < self.held[1] - SPARE_S:
-            return self._ask(
-                now, version + 1, [membership_change(view.members, change, _disks(view, change))]
+        version = view.lease_version
+        own = self.own_lease
+        if own is not None and own.version == version and now < own.at - LEASE_MARGIN_S:
+            return self._submit(
+                now, version + 1, [membership_change(view.members, change, view.disks(change))]
             )
-        if now >= self._turn(view) and self._free(now, view.lease):
-            return self._ask(now, version + 1, [])
+        if now >= self._turn_at(view) and self._may_take_lease(now, view.lease):
+            return self._submit(now, version + 1, [])
         return None
 
-    def told(self, now: float, outcome: bool | Failure) -> None:
-        """How the call came out; where that is not known, the next view shows which version holds."""
-        asked, self.asked = self.asked, None
-        if asked is None:
+    def on_outcome(self, now: float, outcome: Outcome) -> None:
+        """How the call ended; where that is not known, the next view shows which version holds."""
+        submitted, self.submitted = self.submitted, None
+        if submitted is None:
             return
         if outcome is True:
-            self.held, self.failures = (asked.lease, asked.at + LEASE_S), 0
+            self.own_lease = LeaseVersion(submitted.lease_version, submitted.at + LEASE_S)
+            self.failures = 0
             return
-        pause = min(PAUSE_MOST_S, PAUSE_S * 2**self.failures)
-        self.failures = min(self.failures + 1, 8)
-        self.pause_until = now + pause * (0.5 + 0.5 * self.draw())
-
-    def may_go(self, now: float, view: ClusterView) -> bool:
-        """Whether this machine, which leaves, may end: it is no member any more, or none stands by to take
-        its place; in both cases a majority of the members hold what it holds, without it. Or `LEAVE_S` is
-        over."""
-        self._note_settled(now, view.committed_number)
+        backoff = min(BACKOFF_LIMIT_S, BACKOFF_INITIAL_S * 2**self.failures)
+        self.failures = min(self.failures + 1, BACKOFF_DOUBLINGS_LIMIT)
+        self.backoff_until = now + backoff * (0.5 + 0.5 * self.draw())
+
+    def may_leave(self, now: float, view: ClusterView) -> bool:
+        """Whether this machine, which leaves, may end: it is no member any more, or no standby can take its
+        place; in both cases a majority of the members hold what it holds, without it. Or `LEAVE_TIMEOUT_S`
+        is over."""
+        self._record_committed(now, view.committed_number)
         if self.leaving_since is None:
             self.leaving_since = now
-        if now - self.leaving_since >= LEAVE_S:
+        if now - self.leaving_since >= LEAVE_TIMEOUT_S:
             return True
-        others = [
+        up_to_date = [
             name
             for name in view.members.of
             if name != self.me
-            and (report := self._fresh(now, view, name)) is not None
+            and (report := view.fresh_report(now, name)) is not None
             and report.votes
-            and self._holds(view, name)
+            and self._is_caught_up(view, name)
         ]
-        if len(others) < view.members.majority:
+        if len(up_to_date) < view.members.majority:
             return False
         return self.me not in view.members or not self._standbys(now, view)
 
-    # What is seen.
-
-    def _see(self, now: float, view: ClusterView) -> None:
-        if self.stepped is not None and now - self.stepped > GAP_S:  # asleep: others may have come and gone
-            self.missed, self.dumb, self.well, self.need, self.held = {}, {}, {}, None, None
-            self.lease = (-1, 0.0)
-        self.stepped = now
-        self._note_settled(now, view.committed_number)
-        version = view.lease.version if view.lease is not None else 0
-        if version != self.lease[0]:
-            self.lease = version, now
-        if self.held is not None and self.held[0] < version:
-            self.held = None
-        if self.epoch != view.members.epoch:
+    # What is observed.
+
+    def _observe(self, now: float, view: ClusterView) -> None:
+        if self.last_step_at is not None and now - self.last_step_at > STEP_GAP_LIMIT_S:
+            # Suspended: others may have come and gone.
+            self.unheard_since, self.unfit_since, self.standby_since = {}, {}, {}
+            self.need, self.own_lease, self.seen_lease = None, None, LeaseVersion(-1, 0.0)
+        self.last_step_at = now
+        self._record_committed(now, view.committed_number)
+        if view.lease_version != self.seen_lease.version:
+            self.seen_lease = LeaseVersion(view.lease_version, now)
+        if self.own_lease is not None and self.own_lease.version < view.lease_version:
+            self.own_lease = None
+        self._observe_epoch(now, view.members)
+        fresh = {m: r for m in view.members.of if (r := view.fresh_report(now, m)) is not None}
+        self._observe_members(now, view, fresh)
+        self._observe_standbys(now, view, fresh)
+
+    def _observe_epoch(self, now: float, members: MemberSet) -> None:
+        if self.epoch != members.epoch:
             if self.epoch is not None:
-                self.epochs.append(now)
-                log_event("members", epoch=view.members.epoch, of=",".join(view.members.of))
-            self.epoch, self.need = view.members.epoch, None
-        while self.epochs and now - self.epochs[0] >= CHANGES_S:
-            self.epochs.popleft()
-        fresh = {m: r for m in view.members.of if (r := self._fresh(now, view, m)) is not None}
-        half = (len(view.members.of) + 1) // 2  # of an odd set the majority; of an even one, so that whoever
-        # was gone for the odd set before it stays so beside a newcomer that hears it
-        self._since(now, self.missed, lambda m: self._unheard(view, fresh, m) >= half, view)
-        self._since(now, self.dumb, lambda m: m in fresh and not _well(fresh[m], view), view)
-        for name in [*self.missed, *(n for n in self.well if self._fresh(now, view, n) is None)]:
-            self.lost[name] = now
-        for name in [n for n, at in self.lost.items() if now - at >= LATELY_S]:
-            del self.lost[name]
-        for name in {*self.well, *view.reports}:
-            report = self._fresh(now, view, name)
+                self.change_times.append(now)
+                log_event("members", epoch=members.epoch, of=",".join(members.of))
+            self.epoch, self.need = members.epoch, None
+        while self.change_times and now - self.change_times[0] >= CHANGES_WINDOW_S:
+            self.change_times.popleft()
+
+    def _observe_members(self, now: float, view: ClusterView, fresh: Mapping[str, Report]) -> None:
+        # Of an odd set this is a majority; of an even one less, so that whoever was gone for the odd set
+        # before it stays so beside a newcomer that hears it.
+        half = (len(view.members.of) + 1) // 2
+
+        def is_unheard(name: str) -> bool:
+            others = [report for member, report in fresh.items() if member != name]
+            return sum(name not in report.hears for report in others) >= half
+
+        def is_unfit(name: str) -> bool:
+            return name in fresh and not view.is_fit(fresh[name])
+
+        _record_since(now, self.unheard_since, is_unheard, view.members)
+        _record_since(now, self.unfit_since, is_unfit, view.members)
+        silent = (name for name in self.standby_since if view.fresh_report(now, name) is None)
+        for name in [*self.unheard_since, *silent]:
+            self.lost_at[name] = now
+        for name in [name for name, at in self.lost_at.items() if now - at >= RECENTLY_LOST_S]:
+            del self.lost_at[name]
+
+    def _observe_standbys(self, now: float, view: ClusterView, fresh: Mapping[str, Report]) -> None:
+        for name in {*self.standby_since, *view.reports}:
+            report = view.fresh_report(now, name)
             hearers = sum(name in each.hears for each in fresh.values())
             if (
                 name not in view.members
@@ -223,157 +225,129 @@
                 and not report.leaving
                 and hearers >= view.members.majority
             ):
-                self.well.setdefault(name, now)
+                self.standby_since.setdefault(name, now)
             else:
-                self.well.pop(name, None)
-
-    def _note_settled(self, now: float, committed_number: ProposalNumber) -> None:
-        if not self.committed or self.committed[-1][1] != committed_number:
-            self.committed.append((now, committed_number))
-        while len(self.committed) > 1 and self.committed[1][0] <= now - FRESH_S - LAG_S:
-            self.committed.popleft()
-
-    def _holds(self, view: ClusterView, name: str) -> bool:
-        """Whether that keeper has told that it holds what was settled here when it was asked: while changes
-        go on, its report is always older than the newest of them."""
-        at, report = view.reports[name]
-        before = [committed_number for since, committed_number in self.committed if since <= at - LAG_S]
-        return report.committed >= (before[-1] if before else self.committed[0][1])
-
-    def _since(
-        self, now: float, of: dict[str, float], holds: Callable[[str], bool], view: ClusterView
-    ) -> None:
-        for name in {*of, *view.members.of}:
-            if name in view.members and holds(name):
-                of.setdefault(name, now)
-            else:
-                of.pop(name, None)
-
-    def _fresh(self, now: float, view: ClusterView, name: str) -> Report | None:
-        at, report = view.reports.get(name, (now - FRESH_S - 1, None))
-        return report if now - at <= FRESH_S else None
-
-    def _unheard(self, view: ClusterView, fresh: Mapping[str, Report], name: str) -> int:
-        return sum(name not in report.hears for other, report in fresh.items() if other != name)
-
-    def _fit(self, now: float, view: ClusterView) -> bool:
-        own = self._fresh(now, view, self.me)
+                self.standby_since.pop(name, None)
+
+    def _record_committed(self, now: float, committed_number: ProposalNumber) -> None:
+        history = self.committed_history
+        if not history or history[-1].committed_number != committed_number:
+            history.append(CommittedAt(now, committed_number))
+        while len(history) > 1 and history[1].at <= now - REPORT_FRESH_S - REPORT_LAG_S:
+            history.popleft()
+
+    def _is_caught_up(self, view: ClusterView, name: str) -> bool:
+        """Whether that replica has reported all that was committed here when it was asked: while changes go
+        on, its report is always older than the newest of them."""
+        report, received_at = view.reports[name]
+        asked_at = received_at - REPORT_LAG_S
+        before = [each.committed_number for each in self.committed_history if each.at <= asked_at]
+        return report.committed >= (before[-1] if before else self.committed_history[0].committed_number)
+
+    def _may_decide(self, now: float, view: ClusterView) -> bool:
+        own = view.fresh_report(now, self.me)
         return (
             self.me in view.members
-            and self.me not in self.missed
-            and view.age is not None
-            and view.age <= CONTACT_S
+            and self.me not in self.unheard_since
+            and view.staleness_s is not None
+            and view.staleness_s <= CONTACT_STALENESS_LIMIT_S
             and own is not None
-            and _well(own, view)
+            and view.is_fit(own)
             and not own.leaving
         )
 
-    # What is to be done.
+    # The next change.
 
-    def next(self, now: float, view: ClusterView) -> tuple[str, ...] | None:
+    def next_members(self, now: float, view: ClusterView) -> tuple[str, ...] | None:
         """The set after the next change; None: it is to stay, or has to be waited for."""
-        if len(self.epochs) >= CHANGES_MOST:
+        if len(self.change_times) >= CHANGES_LIMIT:
             return None
         members, reports = view.members, {}
-        gone = {m for m, at in self.missed.items() if now - at >= GONE_S}
-        gone |= {m for m, at in self.dumb.items() if now - at >= MUTE_S}
+        gone = {m for m, since in self.unheard_since.items() if now - since >= UNHEARD_LIMIT_S}
+        gone |= {m for m, since in self.unfit_since.items() if now - since >= UNFIT_LIMIT_S}
         for name in set(members.of) - gone:
-            report = self._fresh(now, view, name)
-            if report is None or name in self.missed or not _well(report, view):
-                return None  # its standing is open, maybe that of the last that came in
+            report = view.fresh_report(now, name)
+            if report is None or name in self.unheard_since or not view.is_fit(report):
+                return None  # whether it is gone is open; it may be the last that joined
             reports[name] = report
-        leaving = {m for m, report in reports.items() if report.leaving}
-        standbys = self._standbys(now, view)
-        zones = self._zones(view)
-        size = target_size(view.machines, view.zones, zones)
-        odd = len(members.of) % 2 == 1
-        bad = [*sorted(gone), *sorted(leaving)]
-        after: set[str] | None = None
-        if len(members.of) > size or not odd:
-            after = self._out(members, bad, zones, len(members.of) > size)
-        if after is None and standbys:
-            best = self._best(standbys, members, bad, zones)
-            few = len(members.of) < size and (not odd or len(standbys) > 1)
-            if few or odd and (bad or self._lopsided(members, best, zones)):
-                after = {*members.of, best}
+        leaving = {name for name, report in reports.items() if report.leaving}
+        after = self._after_change(now, view, [*sorted(gone), *sorted(leaving)])
         if after is None:
             return None
         voting = {*reports, *(after - set(members.of))}
         new = MemberSet(members.epoch + 1, tuple(sorted(after)))
         return new.of if is_quorum((members, new), voting) else None
 
+    def _after_change(self, now: float, view: ClusterView, to_replace: list[str]) -> set[str] | None:
+        members, zones = view.members, view.replica_zones()
+        size = target_size(view.machines, view.zones, zones)
+        standbys = self._standbys(now, view)
+        is_odd = len(members.of) % 2 == 1
+        after: set[str] | None = None
+        if len(members.of) > size or not is_odd:
+            after = without_one(members, to_replace, zones, len(members.of) > size)
+        if after is None and standbys:
+            best = self._best_standby(standbys, members, to_replace, zones)
+            grows = len(members.of) < size and (not is_odd or len(standbys) > 1)
+            if grows or is_odd and (to_replace or evens_out_zones(members, best, zones)):
+                after = {*members.of, best}
+        return after
+
     def _standbys(self, now: float, view: ClusterView) -> list[str]:
-        """Those that could be named now; what they hold is by their own word."""
+        """Those that could join now, by their own reports."""
         return [
             name
-            for name, since in sorted(self.well.items())
-            if now - since >= (BACK_S if name in self.lost else JOIN_S)
-            and _well(view.reports[name][1], view)
-            and self._holds(view, name)
+            for name, since in sorted(self.standby_since.items())
+            if now - since >= (RETURNED_FIT_S if name in self.lost_at else STANDBY_FIT_S)
+            and view.is_fit(view.reports[name].report)
+            and self._is_caught_up(view, name)
         ]
 
-    def _out(
-        self, members: MemberSet, bad: list[str], zones: Mapping[str, str], surplus: bool
-    ) -> set[str] | None:
-        if len(members.of) <= LEAST or not bad and not surplus:
-            return None
-        if bad:
-            return set(members.of) - {bad[0]}
-        full = Counter(zones.get(name, "") for name in members.of)
-        return set(members.of) - {max(members.of, key=lambda name: (full[zones.get(name, "")], name))}
-
-    def _best(self, standbys: list[str], members: MemberSet, bad: list[str], zones: Mapping[str, str]) -> str:
-        """Of the zone with the fewest members that stay; then the one that has been well longest."""
-        full = Counter(zones.get(name, "") for name in members.of if name not in bad)
-        return min(standbys, key=lambda name: (full[zones.get(name, "")], self.well[name], name))
-
-    def _lopsided(self, members: MemberSet, best: str, zones: Mapping[str, str]) -> bool:
-        """Whether one of the fullest zone less, and that standby more, is evener: by two, or it would
-        swing."""
-        full = Counter(zones.get(name, "") for name in members.of)
-        return max(full.values()) - full[zones.get(best, "")] >= 2
-
-    def _zones(self, view: ClusterView) -> dict[str, str]:
-        return {name: report.zone for name, (_, report) in view.reports.items()}
+    def _best_standby(
+        self, standbys: list[str], members: MemberSet, to_replace: list[str], zones: Mapping[str, str]
+    ) -> str:
+        """Of the zone with the fewest members that stay; then the one that has been fit longest."""
+        per_zone = Counter(zones.get(name, "") for name in members.of if name not in to_replace)
+        return min(standbys, key=lambda name: (per_zone[zones.get(name, "")], self.standby_since[name], name))
 
     # The lease.
 
-    def _turn(self, view: ClusterView) -> float:
-        """The holder first, then in order; others see by then that the lease is taken."""
+    def _turn_at(self, view: ClusterView) -> float:
+        """When this machine may take the lease: the holder is first, the others follow in order, and see by
+        then that it is taken."""
         holder = view.lease.content["holder"] if view.lease is not None else None
         able = [
-            m
-            for m in view.members.of
-            if m not in self.missed
-            and m not in self.dumb
-            and m in view.reports
-            and not view.reports[m][1].leaving
+            name
+            for name in view.members.of
+            if name not in self.unheard_since
+            and name not in self.unfit_since
+            and name in view.reports
+            and not view.reports[name].report.leaving
         ]
         order = sorted(able, key=lambda name: (name != holder, name))
-        since, chance = self.need
-        return since + STAGGER_S * (order.index(self.me) + 0.5 * chance)
+        return self.need.since + TURN_S * (order.index(self.me) + 0.5 * self.need.jitter)
 
-    def _free(self, now: float, lease: Item | None) -> bool:
-        if lease is None or lease.content == self._name():
+    def _may_take_lease(self, now: float, lease: Item | None) -> bool:
+        if lease is None or lease.content == self._lease_content():
             return True
-        return now - self.lease[1] >= LEASE_S * OVER
+        return now - self.seen_lease.at >= LEASE_S * LEASE_TAKEOVER_FACTOR
 
-    def _name(self) -> dict[str, str]:
+    def _lease_content(self) -> dict[str, str]:
         return {"holder": self.me, "life": self.incarnation}
 
-    def _ask(self, now: float, version: int, items: list[Item]) -> list[Item]:
-        self.asked = SubmittedChange(now, version)
-        log_event(
-            "members_duty", lease=version, asks="a change" if items else "the lease", failures=self.failures
-        )
-        return [Item(LEASE, MEMBERS, version, self._name()), *items]
-
-
-def _well(report: Report, view: ClusterView) -> bool:
-    """It votes, and holds the set that is agreed, or a newer one, with all that was settled before."""
-    return report.votes and report.epoch >= view.members.epoch
-
-
-def _disks(view: ClusterView, of: tuple[str, ...]) -> dict[str, list]:
-    """Which disks the members have, as far as told: whoever settles the change knows of these."""
-    return {name: list(view.reports[name][1].disk) for name in of if name in view.reports}
+    def _submit(self, now: float, version: int, change: list[Item]) -> list[Item]:
+        self.submitted = SubmittedChange(now, version)
+        what = "a change" if change else "the lease"
+        log_event("members_duty", lease=version, asks=what, failures=self.failures)
+        return [Item(LEASE, MEMBERS, version, self._lease_content()), *change]
+
+
+def _record_since(
+    now: float, since: dict[str, float], applies: Callable[[str], bool], members: MemberSet
+) -> None:
+    """Brings `since` up to date: since when `applies` has been true of each member."""
+    for name in {*since, *members.of}:
+        if name in members and applies(name):
+            since.setdefault(name, now)
+        else:
+            since.pop(name, None)
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -1,191 +1,252 @@
-"""What a machine with a disk does with its acceptor and its proposer: written, then sent, then told;
-enrolment of a disk that came back empty; what is accepted and not settled is taken up. Without I/O: `put`
-hands writes to a disk and calls back once they, and all that was put before, are there.
+"""A machine's acceptor and proposer joined: what they return is written, then sent, then reported.
+
+It also enrols a disk that came back empty, and has what was accepted and not committed taken up again.
+Without I/O: `write` hands writes to a storage, which calls back once they, and all handed over before, are on
+disk.
 """
 
 from collections.abc import Callable, Iterable
+from typing import ClassVar
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure, outcome_unknown
-from foxspread.mesh.replication.learner import NONE, ProposalNumber, unpack_row
-from foxspread.mesh.replication.acceptor import Message, Acceptor, Write
-from foxspread.mesh.replication.proposer import ProposerOutput, Proposer
-
-ASKED = ("prepare", "accept")  # of an acceptor
-TOLD = ("promise", "nack", "behind", "stale", "accepted")  # to a proposer
-PATIENCE_S = 0.85  # for a call: the caller goes elsewhere after a second
-COMMIT_TAKEOVER_S = 0.35  # after which what is accepted and not settled is taken up by whoever notices
-ENROL_S = 0.25  # between askings of one whose disk came back empty
-
-Tell = Callable[[bool | Failure], None]
+from foxspread.mesh.log import log_event
+from foxspread.mesh.replication.acceptor import Acceptor, Learned, Response
+from foxspread.mesh.replication.learner import NONE, ProposalNumber, Row, unpack_row
+from foxspread.mesh.replication.messages import (
+    Accept,
+    Accepted,
+    Behind,
+    Enroll,
+    Enrolled,
+    Fields,
+    Message,
+    Nack,
+    Prepare,
+    Promise,
+    ProposerReply,
+    StaleEpoch,
+    decode,
+)
+from foxspread.mesh.replication.proposer import Outcome, Proposer, ProposerOutput
+from foxspread.mesh.replication.stored_state import Write
+
+CALL_TIMEOUT_S = 0.85  # the caller goes to another machine after a second
+COMMIT_TAKEOVER_S = 0.35  # after which whoever notices commits what is accepted and uncommitted
+TAKEOVER_STAGGER = 0.4  # times the time above, for each member that is to do it before
+TAKEOVER_JITTER_S = 0.1
+ENROLMENT_RETRY_S = 0.25  # between the requests of a replica whose disk came back empty
+
+OnOutcome = Callable[[Outcome], None]
+
+
+def _do_nothing() -> None:
+    pass
 
 
 class Replica:
-    proposes_with = Proposer
+    """One machine with storage."""
+
+    proposer_class = Proposer
 
     def __init__(
         self,
         clock: Callable[[], float],
         incarnation: str,
         draw: Callable[[], float],
-        put: Callable[[list[Write], Callable[[], None]], None],
-        send: Callable[[str, Message], object],
-        soon: Callable[..., object],
-        committed: Callable[[list[Item]], None],
+        write: Callable[[list[Write], Callable[[], None]], None],
+        send: Callable[[str, Fields], object],
+        call_soon: Callable[..., object],
+        on_committed: Callable[[list[Item]], None],
     ) -> None:
-        """`soon` has a call made once what is under way is done: so a machine hears itself."""
-        self.clock, self.incarnation, self.draw, self.put = clock, incarnation, draw, put
-        self.send, self.soon, self.committed = send, soon, committed
-        self.acceptor: Acceptor | None = None
+        """`call_soon` makes a call once what is under way is done: so a machine receives its own messages.
+        `on_committed` is called with committed items that are new here."""
+        self.clock, self.incarnation, self.draw, self.write = clock, incarnation, draw, write
+        self.send, self.call_soon, self.on_committed = send, call_soon, on_committed
+        self.acceptor: Acceptor | None = None  # None: its storage is not open yet
         self.proposer: Proposer | None = None
-        self.calls: dict[int, Tell] = {}
-        self.count = 0
-        self.uncommitted_since: tuple[ProposalNumber, float] | None = None
-        self.fresh = False  # since its start it has seen all that was settled before
-        self.reading = False
-        self.next_enrol = 0.0
+        self.pending_calls: dict[int, OnOutcome] = {}
+        self.call_count = 0
+        self.takeover: tuple[ProposalNumber, float] | None = (
+            None  # what is uncommitted, and when to take it up
+        )
+        self.fresh = False  # since its start it has read all that was committed before
+        self.read_pending = False
+        self.next_enrolment_at = 0.0
         self.caught_up = False
-        self.durable: ProposalNumber = NONE  # promised, and on disk
-        self.others: Callable[[], Iterable[str]] = tuple  # machines with a disk that can be reached
+        self.durable_promise: ProposalNumber = NONE  # the highest that is on disk
+        self.reachable_replicas: Callable[[], Iterable[str]] = tuple
 
     def begin(self, acceptor: Acceptor) -> None:
-        self.acceptor, self.proposer = acceptor, self.proposes_with(acceptor, self.incarnation, self.draw)
-        self.caught_up, self.durable = acceptor.known, acceptor.promised
-        self.put(acceptor.first(), lambda: None)
-        self.committed(list(acceptor.learner.items.values()))
-
-    def ask(self, items: list[Item], tell: Tell, patience: float = PATIENCE_S) -> None:
-        """Tells True, or a failure, within `patience` seconds; without items a read: True once this copy is
-        as new as any."""
+        """Its storage is open, and holds this."""
+        self.acceptor = acceptor
+        self.proposer = self.proposer_class(acceptor, self.incarnation, self.draw)
+        self.caught_up, self.durable_promise = acceptor.members_known, acceptor.promised
+        self.write(acceptor.initial_writes(), _do_nothing)
+        self.on_committed(list(acceptor.learner.items.values()))
+
+    def call(self, items: list[Item], on_outcome: OnOutcome, timeout_s: float = CALL_TIMEOUT_S) -> None:
+        """Commits the items and reports True, or a failure, within the time; without items it is a read:
+        True once this committed set is as new as any was at the call."""
         if self.acceptor is None or not self.acceptor.serves:
-            return tell(outcome_unknown("the state is not known here yet"))
-        self.count += 1
-        self.calls[self.count] = tell
-        self._do(self.proposer.submit(self.clock(), self.count, items, self.clock() + patience))
-
-    def heard(self, sender: str, message: Message) -> None:
-        """From another keeper, or itself; `sender`: who it is among the members."""
-        if self.acceptor is None:
-            return
-        kind = message["t"]
-        if kind in ASKED:
-            self._answer(sender, *getattr(self.acceptor, kind)(message))
-        elif kind == "enrol":
-            self._answer(sender, *self.acceptor.enrol(sender, message))
-        elif kind == "enrolled":
-            if (found := self.acceptor.take_in(sender, message)) is not None:
-                self._learnt(*found)
-                if not self.acceptor.known:
-                    self.next_enrol = 0.0  # by another identity, or what it lacks comes in pieces
-        elif kind in TOLD:
-            self._do(self.proposer.heard(self.clock(), sender, message))
-
-    def learn(self, committed_number: ProposalNumber, rows: list, whole: bool = False) -> None:
-        """News of the settled set, from another copy; `whole`: all of it, in the place of this one."""
+            return on_outcome(outcome_unknown("the state is not known here yet"))
+        self.call_count += 1
+        self.pending_calls[self.call_count] = on_outcome
+        now = self.clock()
+        self._carry_out(self.proposer.submit(now, self.call_count, items, now + timeout_s))
+
+    def receive(self, sender: str, fields: Fields) -> None:
+        """A message as it came from another replica; `sender`: its name among the members. A kind that is
+        not known is passed over; raises `MalformedMessageError`."""
+        if self.acceptor is not None and (message := decode(fields)) is not None:
+            self.deliver(sender, message)
+
+    def deliver(self, sender: str, message: Message) -> None:
+        """A message from another replica, or from this one itself."""
+        handler = self._HANDLERS.get(type(message))
+        if handler is not None:
+            handler(self, sender, message)
+
+    # Messages, by their type.
+
+    def _on_prepare(self, sender: str, message: Prepare) -> None:
+        self._respond(sender, self.acceptor.prepare(message))
+
+    def _on_accept(self, sender: str, message: Accept) -> None:
+        self._respond(sender, self.acceptor.accept(message))
+
+    def _on_enroll(self, sender: str, message: Enroll) -> None:
+        self._respond(sender, self.acceptor.enroll(sender, message))
+
+    def _on_enrolled(self, sender: str, message: Enrolled) -> None:
+        if (learned := self.acceptor.take_enrolled(sender, message)) is not None:
+            self._take_learned(learned)
+            if not self.acceptor.members_known:
+                self.next_enrolment_at = 0.0  # under another identity, or a snapshot brings what it lacks
+
+    def _on_reply(self, sender: str, message: ProposerReply) -> None:
+        self._carry_out(self.proposer.receive(self.clock(), sender, message))
+
+    _HANDLERS: ClassVar[dict[type, Callable[..., None]]] = {
+        Prepare: _on_prepare,
+        Accept: _on_accept,
+        Enroll: _on_enroll,
+        Enrolled: _on_enrolled,
+        **dict.fromkeys((Promise, Accepted, Nack, StaleEpoch, Behind), _on_reply),
+    }
+
+    # Other inputs.
+
+    def learn(self, committed_number: ProposalNumber, rows: list[Row], complete_set: bool = False) -> None:
+        """What a snapshot brought; `complete_set`: all of it, in place of the own committed set."""
         if self.acceptor is not None:
-            self._learnt(*self.acceptor.learn(committed_number, map(unpack_row, rows), whole))
+            self._take_learned(self.acceptor.learn(committed_number, map(unpack_row, rows), complete_set))
 
-    def found_older(self, chance: str) -> None:
-        """Others have heard later things of this machine's disk: it enrols anew. `chance`: of its new
-        identity."""
-        if self.acceptor is not None and self.acceptor.known:
+    def on_rolled_back(self, nonce: str) -> None:
+        """Others have met a later state of this machine's disk: it enrols anew. `nonce`: the random part of
+        its new identity."""
+        if self.acceptor is not None and self.acceptor.members_known:
             log_event("disk_older", disk=self.acceptor.disk, boots=self.acceptor.start_count)
-            self.put(self.acceptor.forget(chance), lambda: None)
-            self.caught_up, self.fresh, self.next_enrol = False, False, 0.0
+            self.write(self.acceptor.reset_identity(nonce), _do_nothing)
+            self.caught_up, self.fresh, self.next_enrolment_at = False, False, 0.0
 
-    def _learnt(self, writes: list[Write], new: list[Item]) -> None:
-        self.put(writes, lambda: None)
-        if self.acceptor.known and not self.caught_up:
-            self.caught_up = True
-            log_event(
-                "caught_up",
-                members=len(self.acceptor.members.of),
-                upto=self.acceptor.learner.committed_number[0],
-            )
-        self.committed(new)
-
-    def peer_committed(self, at: ProposalNumber) -> None:
-        """Another has settled that: if it is what was accepted here, nothing need be pulled."""
-        if (
-            self.acceptor is not None
-            and self.acceptor.voting
-            and (found := self.acceptor.commit(at)) is not None
-        ):
-            self.put(found[0], lambda: None)
-            self.committed(found[1])
-
-    def reached(self, member: str) -> None:
-        """A link to that member has come up."""
-        if self.acceptor is not None and self.acceptor.known:
-            self._do(self.proposer.reached(member))
+    def on_peer_committed(self, proposal_number: ProposalNumber) -> None:
+        """Another has committed that: if it is what was accepted here, it need not be sent here again."""
+        if self.acceptor is None or not self.acceptor.voting:
+            return
+        if (learned := self.acceptor.commit(proposal_number)) is not None:
+            self.write(learned.writes, _do_nothing)
+            self.on_committed(learned.new_items)
+
+    def on_connected(self, member: str) -> None:
+        """A connection to that member has come up."""
+        if self.acceptor is not None and self.acceptor.members_known:
+            self._carry_out(self.proposer.on_connected(member))
         else:
-            self.next_enrol = 0.0
+            self.next_enrolment_at = 0.0
         self.tick()
 
     def tick(self) -> None:
+        """Whatever is due by now."""
         if self.acceptor is None:
             return
-        now, acceptor = self.clock(), self.acceptor
-        self._do(self.proposer.tick(now))
-        if not acceptor.known:
-            if now >= self.next_enrol:
-                self.next_enrol = now + ENROL_S
-                asked = {member for each in acceptor.to_enrol_with() for member in each.of}
-                for member in sorted({*asked, *acceptor.seeds.of, *self.others()} - {acceptor.me}):
-                    self.send(member, {"t": "enrol", "disk": acceptor.disk})
+        now = self.clock()
+        self._carry_out(self.proposer.tick(now))
+        if not self.acceptor.members_known:
+            return self._request_enrolment(now)
+        if not self.fresh and not self.read_pending:
+            self.read_pending = True
+            self.call([], self._on_read)
+        self._take_up_uncommitted(now)
+
+    def _request_enrolment(self, now: float) -> None:
+        if now < self.next_enrolment_at:
             return
-        if not self.fresh and not self.reading:
-            self.reading = True
-            self.ask([], self._read)
+        self.next_enrolment_at = now + ENROLMENT_RETRY_S
+        acceptor = self.acceptor
+        members = {member for each in acceptor.enrolment_member_sets() for member in each.of}
+        recipients = {*members, *acceptor.seeds.of, *self.reachable_replicas()} - {acceptor.me}
+        message = Enroll(acceptor.disk)
+        for member in sorted(recipients):
+            self.send(member, message.packed())
+
+    def _take_up_uncommitted(self, now: float) -> None:
+        """Commits what was accepted here once its proposer has had time to; members do so in turn."""
+        acceptor = self.acceptor
         if not acceptor.uncommitted:
-            self.uncommitted_since = None
-        elif self.uncommitted_since is None or self.uncommitted_since[0] != acceptor.accepted:
-            of = acceptor.members.of
-            place = of.index(acceptor.me) if acceptor.me in of else len(of)
-            self.uncommitted_since = (
-                acceptor.accepted,
-                now + COMMIT_TAKEOVER_S * (1 + 0.4 * place) + 0.1 * self.draw(),
-            )
-        elif now >= self.uncommitted_since[1]:
-            self.uncommitted_since = None
-            self._do(self.proposer.nudge(now))
-
-    def _read(self, outcome: bool | Failure) -> None:
-        self.reading = False
+            self.takeover = None
+        elif self.takeover is None or self.takeover[0] != acceptor.accepted:
+            members = acceptor.members.of
+            position = members.index(acceptor.me) if acceptor.me in members else len(members)
+            wait_s = COMMIT_TAKEOVER_S * (1 + TAKEOVER_STAGGER * position) + TAKEOVER_JITTER_S * self.draw()
+            self.takeover = acceptor.accepted, now + wait_s
+        elif now >= self.takeover[1]:
+            self.takeover = None
+            self._carry_out(self.proposer.request_attempt(now))
+
+    def _on_read(self, outcome: bool | Failure) -> None:
+        self.read_pending = False
         if outcome is True and not self.fresh:
             self.fresh = True
+            learner = self.acceptor.learner
+            log_event("state_known", upto=learner.committed_number[0], items=len(learner.items))
+            self.on_committed([])
+
+    def _take_learned(self, learned: Learned) -> None:
+        self.write(learned.writes, _do_nothing)
+        acceptor = self.acceptor
+        if acceptor.members_known and not self.caught_up:
+            self.caught_up = True
             log_event(
-                "state_known",
-                upto=self.acceptor.learner.committed_number[0],
-                items=len(self.acceptor.learner.items),
+                "caught_up", members=len(acceptor.members.of), upto=acceptor.learner.committed_number[0]
             )
-            self.committed([])
+        self.on_committed(learned.new_items)
 
-    def _answer(self, sender: str, writes: list[Write], reply: Message | None, new: list[Item]) -> None:
+    def _respond(self, sender: str, response: Response) -> None:
+        """Writes, then replies; committed items that are new here need not wait for the disk."""
         promised = self.acceptor.promised
 
-        def go() -> None:
-            self.durable = max(self.durable, promised)
-            if reply is not None:
-                self._pass(sender, reply)
+        def on_written() -> None:
+            self.durable_promise = max(self.durable_promise, promised)
+            if response.reply is not None:
+                self._send(sender, response.reply)
 
-        self.put(writes, go)
-        if new:
-            self.committed(new)
+        self.write(response.writes, on_written)
+        if response.new_items:
+            self.on_committed(response.new_items)
 
-    def _pass(self, to: str, message: Message) -> None:
+    def _send(self, to: str, message: Message) -> None:
         if to == self.acceptor.me:
-            self.soon(self.heard, to, message)
+            self.call_soon(self.deliver, to, message)
         else:
-            self.send(to, message)
+            self.send(to, message.packed())
 
-    def _do(self, out: ProposerOutput) -> None:
+    def _carry_out(self, out: ProposerOutput) -> None:
         if out.writes:
-            self.put(out.writes, lambda: None)
+            self.write(out.writes, _do_nothing)
         for to, message in out.sends:
-            self._pass(to, message)
-        for token, outcome in out.done:
-            self.calls.pop(token)(outcome)
-        if out.new or out.done:
-            self.committed(out.new)
+            self._send(to, message)
+        for token, outcome in out.completed:
+            self.pending_calls.pop(token)(outcome)
+        if out.new_items or out.completed:
+            self.on_committed(out.new_items)
--- a/foxspread/mesh/replication/replica_server.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -1,45 +1,45 @@
-"""Puts acceptor, proposer, disk and links together on a machine with a disk: `Replica` in an event loop,
-each call a future.
-"""
+"""A replica in an event loop, on a real storage: each call is a future."""
 
 import asyncio
 from collections.abc import Callable
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.replication.storage import Storage
-from foxspread.mesh.replication.acceptor import Message
-from foxspread.mesh.replication.quorum_contact import Report
 from foxspread.mesh.replication.membership import MemberSet
-from foxspread.mesh.replication.replica import PATIENCE_S, Replica
+from foxspread.mesh.replication.messages import Fields, Report
+from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
+from foxspread.mesh.replication.storage import Storage
 
-ITEM_S = 0.0005  # more for each item of a call: a large one takes its time at each step
-CUT_OFF_S = 0.3  # for a call on a keeper without contact to a majority: its caller is to go elsewhere soon
+TIMEOUT_PER_ITEM_S = 0.0005  # added for each item of a call: a large one takes its time at each step
+NO_QUORUM_TIMEOUT_S = 0.3  # for a call on a replica without a quorum: its caller is to go elsewhere soon
 
 
 class ReplicaServer(Replica):
+    """The replica of a process with storage."""
+
     def __init__(
         self,
         clock: Callable[[], float],
         incarnation: str,
         draw: Callable[[], float],
-        disk: Storage,
-        send: Callable[[str, Message], bool],
-        committed: Callable[[list[Item]], None],
+        storage: Storage,
+        send: Callable[[str, Fields], bool],
+        on_committed: Callable[[list[Item]], None],
     ) -> None:
-        super().__init__(clock, incarnation, draw, disk.put, send, self._soon, committed)
-        self.disk = disk
-        self.patience: Callable[[], float] = lambda: PATIENCE_S  # for a call that comes now, seconds
+        super().__init__(clock, incarnation, draw, storage.write, send, self._call_in_loop, on_committed)
+        self.storage = storage
+        self.call_timeout_s: Callable[[], float] = lambda: CALL_TIMEOUT_S  # of a call that comes now
 
     @property
     def members(self) -> MemberSet:
-        """The agreed members, as settled here."""
+        """The members, as committed here."""
         return self.acceptor.members
 
     def own_report(self, zone: str, leaving: bool, hears: tuple[str, ...]) -> Report:
+        """What this replica says of itself to others; `hears`: the replicas heard of late."""
         acceptor = self.acceptor
         return Report(
             acceptor.me,
-            acceptor.known and acceptor.voting,
+            acceptor.serves,
             self.members.epoch,
             acceptor.learner.committed_number,
             max(acceptor.accepted, acceptor.learner.committed_number),
@@ -50,11 +50,11 @@
         )
 
     def submit(self, items: list[Item]) -> asyncio.Future:
-        """True, or a failure; without items a read."""
+        """Resolves to True, or to a `Failure`; without items it is a read."""
         future = asyncio.get_running_loop().create_future()
-        patience = self.patience() + ITEM_S * len(items)
-        self.ask(items, lambda told: None if future.done() else future.set_result(told), patience)
+        timeout_s = self.call_timeout_s() + TIMEOUT_PER_ITEM_S * len(items)
+        self.call(items, lambda outcome: None if future.done() else future.set_result(outcome), timeout_s)
         return future
 
-    def _soon(self, call: Callable[..., None], *told: object) -> None:
-        asyncio.get_running_loop().call_soon(call, *told)
+    def _call_in_loop(self, call: Callable[..., None], *arguments: object) -> None:
+        asyncio.get_running_loop().call_soon(call, *arguments)
--- a/foxspread/mesh/replication/snapshot_transfer.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -1,229 +1,258 @@
-"""What a copy lacks, asked for piece by piece: one at a time, of the peer with the newest, and of another
-where it does not come. Nothing of it is shown before the whole has come: rows are staged here, and whoever
-leaves off at a place goes on there with any peer. A core without I/O; docs/design/catching-up.md says why a
-whole that was put together from several tellers is one.
+"""Reads from peers what this committed set lacks, chunk by chunk. Without I/O.
+
+One request is under way at a time, to the peer with the newest committed set, and to another where no chunk
+comes. Nothing is shown before all of it has come: rows are staged, and whoever takes over goes on at the same
+offset. docs/design/catching-up.md says why a set that was put together from several sources is a committed
+one.
 """
 
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 import orjson
 
+from foxspread.mesh.configuration.items import Key
 from foxspread.mesh.replication.learner import (
     NONE,
     START,
-    ProposalNumber,
     Learner,
     Offset,
+    ProposalNumber,
     Row,
-    unpack_proposal_number,
-    pack_offset,
-    unpack_offset,
-    offset_of,
+    SnapshotChunk,
     chunk_digest,
     end_of_proposal,
+    offset_of,
+)
+from foxspread.mesh.replication.messages import (
+    SnapshotChunkRequest,
+    SnapshotReply,
+    SnapshotRestart,
+    SnapshotRows,
 )
 
-Message = dict[str, Any]
-ASKED_S = 0.5  # for a piece, at first: 64 KiB take 0.26 s on a link of 2 Mbit/s
-ASKED_MOST_S = 8.0  # doubling with each that does not come
-TIMES_LAST = 3.0  # the time that the last piece took is what the next may take, so many times
-SHUNNED_S = 1.0  # a peer whose piece did not come, or was spoilt, while there are others
-CEILING_S = 2.0  # without any peer that holds as much as one that told a piece: begun anew
-ASKINGS_MOST = 4  # that an answer is still taken for
+REQUEST_TIMEOUT_S = 0.5  # at first: 64 KiB take 0.26 s on a link of 2 Mbit/s
+REQUEST_TIMEOUT_LIMIT_S = 8.0  # the time-out doubles with each chunk that does not come
+TIMEOUT_PER_LAST_DURATION = 3.0  # the next chunk may take so many times as long as the last
+PEER_BACKOFF_S = 1.0  # a peer whose chunk did not come, or was damaged, is avoided while there are others
+SOURCE_LOST_S = 2.0  # without a peer as new as the newest source so far: started over
+REQUESTS_REMEMBERED = 4  # a reply to an earlier request is ignored
+
+Peer = Hashable
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRows:
-    """The whole of what was lacking."""
+    """Everything that was missing."""
 
     committed_number: ProposalNumber
     rows: list[Row]
-    replaced: bool  # it is the whole set, in the place of what is held: `Copy.replace`
-    age: float | None  # seconds for which something newer that was acknowledged may be missing
+    complete_set: bool  # it takes the place of the committed set: `Learner.replace`
+    staleness_s: float | None  # for how long something that was acknowledged may be missing in it
+
+
+class PeerRequest(NamedTuple):
+    """A request, and the peer that it goes to."""
+
+    peer: Peer
+    message: SnapshotChunkRequest
 
 
 @dataclass(frozen=True, slots=True)
-class ChunkRequest:
-    peer: Hashable
+class PendingRequest:
+    """A request whose reply is taken."""
+
+    peer: Peer
     after: Offset
-    at: float
+    sent_at: float
 
 
 class SnapshotTransfer:
+    """The transfer to one learner."""
+
     def __init__(
-        self, learner: Learner, draw: Callable[[], float], bytes_a_second: float = float("inf")
+        self, learner: Learner, draw: Callable[[], float], bytes_per_second: float = float("inf")
     ) -> None:
-        """`copy`: what is held here; whoever is handed a `Taken` folds it in there. `bytes_a_second`: of rows
-        as JSON, asked for at the most."""
-        self.learner, self.draw, self.bytes_a_second = learner, draw, bytes_a_second
-        self.has: dict[Hashable, ProposalNumber] = {}
-        self.shunned: dict[Hashable, float] = {}
-        self.count = 0
-        self.askings: dict[int, ChunkRequest] = {}
-        self.waiting: ChunkRequest | None = None  # for its answer, until `until`
-        self.until = self.next_at = 0.0
-        self.patience = ASKED_S
-        self._begin(anew=False)
-
-    def _begin(self, anew: bool) -> None:
-        """`anew`: from nothing, in the place of what is held."""
-        self.anew, self.staged = anew, {}
+        """`learner`: the own committed set; whoever gets `ReceivedRows` adds them to it.
+        `bytes_per_second`: a limit, of rows as JSON."""
+        self.learner, self.draw, self.bytes_per_second = learner, draw, bytes_per_second
+        self.peer_committed: dict[Peer, ProposalNumber] = {}
+        self.avoided_until: dict[Peer, float] = {}
+        self.request_count = 0
+        self.requests: dict[int, PendingRequest] = {}
+        self.waiting: PendingRequest | None = None  # for the reply to this, until `deadline`
+        self.deadline = self.next_request_at = 0.0
+        self.timeout_s = REQUEST_TIMEOUT_S
+        self._start_over(from_nothing=False)
+
+    def _start_over(self, from_nothing: bool) -> None:
+        """`from_nothing`: a complete set is read, in place of the own one."""
+        self.from_nothing = from_nothing
+        self.staged: dict[Key, Row] = {}
         self.started = False
         self.cursor = START
-        self.since: ProposalNumber | None = (
-            None  # no teller of what is staged, and not what is held here, was older
-        )
-        self.ceiling = NONE  # the newest of these tellers
-        self.below_since: float | None = None  # no peer holds as much as that
+        # No source of what is staged was older, nor the own committed set where that is added to.
+        self.since: ProposalNumber | None = None
+        self.newest_source = NONE
+        self.source_lost_at: float | None = None  # no peer is as new as `newest_source` since then
         self.waiting = None
-        self.askings.clear()
+        self.requests.clear()
+
+    # Inputs.
 
-    def told(self, peer: Hashable, committed_number: ProposalNumber) -> None:
-        """What that peer says it holds, of late."""
-        self.has[peer] = committed_number
+    def on_peer_committed(self, peer: Peer, committed_number: ProposalNumber) -> None:
+        """What that peer says of its committed set."""
+        self.peer_committed[peer] = committed_number
 
-    def left(self, peer: Hashable) -> None:
-        self.has.pop(peer, None)
-        self.shunned.pop(peer, None)
+    def on_peer_lost(self, peer: Peer) -> None:
+        """The connection to that peer has ended."""
+        self.peer_committed.pop(peer, None)
+        self.avoided_until.pop(peer, None)
         if self.waiting is not None and self.waiting.peer == peer:
             self.waiting = None
 
     @property
-    def behind(self) -> bool:
-        return max(self.has.values(), default=NONE) > self.learner.committed_number
+    def is_behind(self) -> bool:
+        """Whether a peer has something that is missing here."""
+        return max(self.peer_committed.values(), default=NONE) > self.learner.committed_number
 
     def wake_at(self) -> float | None:
+        """When the next `step` is due; None: not before another input."""
         if self.waiting is not None:
-            return self.until
-        times = [self.next_at] if self.behind and self._useful() else []
-        if self.below_since is not None:
-            times.append(self.below_since + CEILING_S)
+            return self.deadline
+        times = [self.next_request_at] if self.is_behind and self._useful_peers() else []
+        if self.source_lost_at is not None:
+            times.append(self.source_lost_at + SOURCE_LOST_S)
         return min(times, default=None)
 
-    def step(self, now: float) -> list[tuple[Hashable, Message]]:
-        """What to ask now, and of whom: after each `told`, `left` and `heard`, and at `wake_at`."""
+    def step(self, now: float) -> list[PeerRequest]:
+        """What to send now; after each other input, and at `wake_at`."""
         if self.waiting is not None:
-            if now < self.until:
+            if now < self.deadline:
                 return []
-            self._failed(now, self.waiting.peer)
-        if self.started and self.learner.committed_number >= self.ceiling:
-            self._begin(anew=False)  # learnt meanwhile by another way
-        self._look_for_ceiling(now)
-        if not self.behind or now < self.next_at:
+            self._avoid(now, self.waiting.peer)
+        if self.started and self.learner.committed_number >= self.newest_source:
+            self._start_over(from_nothing=False)  # learnt meanwhile in another way
+        self._watch_source(now)
+        if not self.is_behind or now < self.next_request_at:
             return []
         if not self.started:
-            self.cursor = START if self.anew else end_of_proposal(self.learner.committed_number)
+            self.cursor = START if self.from_nothing else end_of_proposal(self.learner.committed_number)
             self.since = None if self.cursor == START else self.learner.committed_number
-        peer = self._peer(now)
-        if peer is None:
-            return []
-        self.count += 1
-        self.waiting = self.askings[self.count] = ChunkRequest(peer, self.cursor, now)
-        self.askings.pop(self.count - ASKINGS_MOST, None)
-        self.until = now + self.patience
-        message = {"t": "piece", "n": self.count, "after": pack_offset(self.cursor)}
-        if self.since is not None and self.since != self.cursor[0]:
-            message["since"] = self.since
-        return [(peer, message)]
-
-    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
-        """A piece; once nothing is lacking any more, the whole."""
-        asking = self.askings.get(message["n"])
-        if asking is None or asking.peer != peer or asking.after != self.cursor:
-            return None  # of what was asked of another meanwhile, or begun anew since
-        committed_number = unpack_proposal_number(message["upto"])
-        if peer in self.has:
-            self.has[peer] = committed_number
-        if message.get("again"):
-            self._begin(anew=True)
-            return None
-        rows, more = message["rows"], message["more"]
-        horizon = unpack_proposal_number(message.get("horizon", NONE))
-        if (
-            message["digest"] != chunk_digest(rows, self.cursor, committed_number, more, horizon)
-            or more
-            and not rows
-        ):
-            self._failed(now, peer)
-            if self.shunned.keys() >= set(self._useful()):
-                self.next_at = now + self.draw() * self.patience
+        peer = self._choose_peer(now)
+        return [] if peer is None else [self._request(now, peer)]
+
+    def receive(self, now: float, peer: Peer, message: SnapshotReply) -> ReceivedRows | None:
+        """A reply; everything that was missing, once the last chunk has come."""
+        request = self.requests.get(message.number)
+        if request is None or request.peer != peer or request.after != self.cursor:
+            return None  # another peer has been asked since, or the transfer started over
+        if peer in self.peer_committed:
+            self.peer_committed[peer] = message.committed_number
+        if isinstance(message, SnapshotRestart):
+            self._start_over(from_nothing=True)
             return None
-        if committed_number < self.cursor[0]:
-            self.waiting = None
+        chunk = message.chunk
+        if not self._is_sound(chunk):
+            self._avoid(now, peer)
+            if self.avoided_until.keys() >= set(self._useful_peers()):
+                self.next_request_at = now + self.draw() * self.timeout_s
             return None
-        if self.since is not None and horizon > self.since:
-            self._begin(anew=True)
+        if chunk.committed_number < self.cursor[0]:
+            self.waiting = None  # the peer has restarted with less
             return None
-        self.waiting, self.started = None, True
-        self.patience = min(ASKED_MOST_S, max(ASKED_S, TIMES_LAST * (now - asking.at)))
-        if self.bytes_a_second < float("inf"):
-            self.next_at = asking.at + len(orjson.dumps(rows)) / self.bytes_a_second
-        self.since = committed_number if self.since is None else min(self.since, committed_number)
-        self.ceiling = max(self.ceiling, committed_number)
-        for each in rows:
-            self.staged[each[0], each[1]] = each
-        self.cursor = offset_of(rows[-1]) if more else end_of_proposal(committed_number)
-        if more or committed_number < self.ceiling:
+        if self.since is not None and chunk.horizon > self.since:
+            self._start_over(from_nothing=True)
             return None
-        told, replaced = list(self.staged.values()), self.anew
-        self._begin(anew=False)
-        if committed_number <= self.learner.committed_number:
+        self._stage(now, request, chunk)
+        if chunk.more or chunk.committed_number < self.newest_source:
             return None
-        age = message.get("age")
-        return ReceivedRows(committed_number, told, replaced, None if age is None else age + now - asking.at)
+        return self._complete(now - request.sent_at, message)
 
     @staticmethod
-    def answer(learner: Learner, message: Message, age: float | None, for_keeper: bool) -> Message:
-        """What a teller says to `piece`. A machine without a disk holds too little for one with a disk."""
-        after = unpack_offset(message["after"])
-        since = unpack_proposal_number(message.get("since", after[0]))
-        told = {"t": "rows", "n": message["n"]}
-        if after != START and learner.horizon > since:
-            return {**told, "upto": learner.committed_number, "again": True}
-        return {**told, **learner.piece(after, bare=not for_keeper).packed(), "age": age}
-
-    def _failed(self, now: float, peer: Hashable) -> None:
+    def reply(
+        learner: Learner, message: SnapshotChunkRequest, staleness_s: float | None, to_replica: bool
+    ) -> SnapshotReply:
+        """What a source replies. Only a replica holds everything that another replica needs."""
+        since = message.after[0] if message.since is None else message.since
+        if message.after != START and learner.horizon > since:
+            return SnapshotRestart(message.number, learner.committed_number)
+        return SnapshotRows(message.number, learner.chunk(message.after, bare=not to_replica), staleness_s)
+
+    # Requests and chunks.
+
+    def _request(self, now: float, peer: Peer) -> PeerRequest:
+        self.request_count += 1
+        number = self.request_count
+        self.waiting = self.requests[number] = PendingRequest(peer, self.cursor, now)
+        self.requests.pop(number - REQUESTS_REMEMBERED, None)
+        self.deadline = now + self.timeout_s
+        since = self.since if self.since != self.cursor[0] else None
+        return PeerRequest(peer, SnapshotChunkRequest(number, self.cursor, since))
+
+    def _is_sound(self, chunk: SnapshotChunk) -> bool:
+        digest = chunk_digest(chunk.rows, self.cursor, chunk.committed_number, chunk.more, chunk.horizon)
+        return chunk.digest == digest and bool(chunk.rows or not chunk.more)
+
+    def _stage(self, now: float, request: PendingRequest, chunk: SnapshotChunk) -> None:
+        self.waiting, self.started = None, True
+        duration_s = now - request.sent_at
+        timeout_s = max(REQUEST_TIMEOUT_S, TIMEOUT_PER_LAST_DURATION * duration_s)
+        self.timeout_s = min(REQUEST_TIMEOUT_LIMIT_S, timeout_s)
+        if self.bytes_per_second < float("inf"):
+            self.next_request_at = request.sent_at + len(orjson.dumps(chunk.rows)) / self.bytes_per_second
+        self.since = chunk.committed_number if self.since is None else min(self.since, chunk.committed_number)
+        self.newest_source = max(self.newest_source, chunk.committed_number)
+        for row in chunk.rows:
+            self.staged[row[0], row[1]] = row
+        self.cursor = offset_of(chunk.rows[-1]) if chunk.more else end_of_proposal(chunk.committed_number)
+
+    def _complete(self, duration_s: float, message: SnapshotRows) -> ReceivedRows | None:
+        rows, complete_set = list(self.staged.values()), self.from_nothing
+        self._start_over(from_nothing=False)
+        if message.committed_number <= self.learner.committed_number:
+            return None
+        staleness_s = None if message.staleness_s is None else message.staleness_s + duration_s
+        return ReceivedRows(message.committed_number, rows, complete_set, staleness_s)
+
+    # Peers.
+
+    def _avoid(self, now: float, peer: Peer) -> None:
         self.waiting = None
-        self.shunned[peer] = now + SHUNNED_S * (1 + self.draw())
-        self.patience = min(ASKED_MOST_S, 2 * self.patience)
+        self.avoided_until[peer] = now + PEER_BACKOFF_S * (1 + self.draw())
+        self.timeout_s = min(REQUEST_TIMEOUT_LIMIT_S, 2 * self.timeout_s)
 
-    def _look_for_ceiling(self, now: float) -> None:
-        """What is staged becomes a whole only with a teller no older than any before; where there is none,
-        it is left after a while for one that can be had."""
+    def _watch_source(self, now: float) -> None:
+        """What is staged becomes a committed set only with a source no older than any before; where there
+        is none for a while, the transfer starts over with one that can be had."""
         if not self.started or any(
-            committed_number >= self.ceiling for committed_number in self.has.values()
+            committed_number >= self.newest_source for committed_number in self.peer_committed.values()
         ):
-            self.below_since = None
-        elif self.below_since is None:
-            self.below_since = now
-        elif now - self.below_since >= CEILING_S:
-            self._begin(self.anew)
+            self.source_lost_at = None
+        elif self.source_lost_at is None:
+            self.source_lost_at = now
+        elif now - self.source_lost_at >= SOURCE_LOST_S:
+            self._start_over(self.from_nothing)
 
-    def _useful(self) -> list[Hashable]:
-        if not self.started:
-            return [
-                peer
-                for peer, committed_number in self.has.items()
-                if committed_number > self.learner.committed_number
-            ]
+    def _useful_peers(self) -> list[Peer]:
+        own = self.learner.committed_number
         return [
             peer
-            for peer, committed_number in self.has.items()
-            if end_of_proposal(committed_number) > self.cursor
+            for peer, committed_number in self.peer_committed.items()
+            if (end_of_proposal(committed_number) > self.cursor if self.started else committed_number > own)
         ]
 
-    def _peer(self, now: float) -> Hashable | None:
-        """One with the newest that did not fail of late, or the one that failed longest ago."""
-        for peer in [each for each, until in self.shunned.items() if until <= now]:
-            del self.shunned[peer]
-        useful = self._useful()
+    def _choose_peer(self, now: float) -> Peer | None:
+        """A random one of the newest that have not failed of late, or the one that failed longest ago."""
+        for peer in [each for each, until in self.avoided_until.items() if until <= now]:
+            del self.avoided_until[peer]
+        useful = self._useful_peers()
         if not useful:
             return None
-        sound = [each for each in useful if each not in self.shunned]
+        sound = [peer for peer in useful if peer not in self.avoided_until]
         if not sound:
-            return min(useful, key=self.shunned.__getitem__)
-        newest = max(self.has[each] for each in sound)
-        first = [each for each in sound if self.has[each] == newest]
-        return first[int(self.draw() * len(first))]
+            return min(useful, key=self.avoided_until.__getitem__)
+        newest = max(self.peer_committed[peer] for peer in sound)
+        candidates = [peer for peer in sound if self.peer_committed[peer] == newest]
+        return candidates[int(self.draw() * len(candidates))]
--- a/foxspread/mesh/replication/storage.py
+++ b/foxspread/mesh/replication/storage.py
@@ -1,9 +1,10 @@
-"""The acceptor's disk: one SQLite file, written by one thread, many messages to a sync. What is handed over
-together with what is to follow it is written and synced first. A disk that refuses a write is asked again,
-and nothing goes out meanwhile; a file that is torn, cut off or not ours counts as none.
+"""A replica's storage: one SQLite file, written by one thread, many writes to a sync (write-ahead log).
 
-A file that was copied and put back later is sound, and has forgotten what came between. It counts its own
-starts; others hold the highest count, and the highest ballot promised, that its disk has told them (`older`).
+What is handed over together with a callback is on disk before the callback runs. A write that the disk
+refuses is retried, and nothing goes out meanwhile; a file that is torn, truncated or not ours counts as none.
+
+A file that was copied and put back later is sound, and has forgotten what came between. It counts how often
+it was opened; others remember the highest count, and the highest promise, that it has named (`is_older`).
 """
 
 import os
@@ -14,18 +15,28 @@
 import uuid
 import zlib
 from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple
 
 import orjson
 
 from foxspread.mesh.log import log_event
-from foxspread.mesh.replication.acceptor import Saved, Write
-from foxspread.mesh.replication.learner import ProposalNumber
+from foxspread.mesh.replication.learner import ProposalNumber, Row
+from foxspread.mesh.replication.stored_state import (
+    DISK,
+    START_COUNT,
+    DeleteRows,
+    PutRows,
+    RecoveredState,
+    SetMeta,
+    Write,
+)
 
 FILE = "rootstock.sqlite"
 FORMAT = "2"
-AGAIN_S = 0.05  # after a write that the disk refused
-SLICE = 256  # rows that are made ready for the disk at a time: the loop goes on between
-REFUSED = {  # by the system, or held by another process: that says nothing against the file
+FORMAT_META = "format"
+RETRY_INTERVAL_S = 0.05  # after a write that the disk refused
+ROWS_PER_SLICE = 256  # written at a time: the event loop's thread goes on between
+REFUSALS = {  # by the system, or because another process holds the file: they say nothing against it
     sqlite3.SQLITE_BUSY,
     sqlite3.SQLITE_LOCKED,
     sqlite3.SQLITE_IOERR,
@@ -36,56 +47,80 @@
     sqlite3.SQLITE_NOMEM,
     sqlite3.SQLITE_PROTOCOL,
 }
+PRIMARY_CODE_MASK = 0xFF  # of an extended error code of SQLite
 
 
-def is_older(start_count: int, promised: ProposalNumber, held: Iterable[tuple[int, ProposalNumber]]) -> bool:
-    """Whether a disk is a copy from before. `boots` and `promised`: what it tells of itself at its start;
-    `held`: the highest of both that others have heard from a disk of that identity. A ballot that it has told
-    nobody who is left can't be missed by this."""
-    return any(start_count < others_boots or promised < others for others_boots, others in held)
+def is_older(
+    start_count: int, promised: ProposalNumber, remembered: Iterable[tuple[int, ProposalNumber]]
+) -> bool:
+    """Whether a disk is an older copy of itself. `start_count` and `promised`: what it names at its start;
+    `remembered`: the highest of both that others have heard of a disk with that identity. A promise that it
+    has given to nobody who is left can't be missed by this."""
+    return any(start_count < count or promised < highest for count, highest in remembered)
 
 
 class StorageCorruptedError(Exception):
-    """What lies there can't be trusted."""
+    """What the file holds can't be trusted."""
+
+
+class _Job(NamedTuple):
+    writes: list[Write]
+    on_written: Callable[[], None]
 
 
 def _seal(*parts: object) -> tuple[bytes, int]:
+    """The last part as JSON, and a checksum over all parts."""
     body = orjson.dumps(parts[-1])
     return body, zlib.crc32(body, zlib.crc32(repr(parts[:-1]).encode()))
 
 
-def _unseal(body: bytes, seal: int, *before: object) -> object:
+def _unseal(body: bytes, seal: int, *before: object) -> Any:
     if zlib.crc32(body, zlib.crc32(repr(before).encode())) != seal:
         raise StorageCorruptedError(f"checksum of {before}")
     return orjson.loads(body)
 
 
 class Storage:
-    def __init__(self, folder: str, later: Callable[[Callable[[], None]], None]) -> None:
-        """`later` has a call made in the thread of the loop."""
-        self.folder, self.later = folder, later
-        self.jobs: queue.SimpleQueue = queue.SimpleQueue()
-        self.pending = 0  # handed over, not yet told as written
-        self.troubled_since: float | None = None
+    """The file of one replica."""
+
+    def __init__(self, folder: str, call_in_loop: Callable[[Callable[[], None]], None]) -> None:
+        """`call_in_loop` has a call made in the thread of the event loop."""
+        self.folder, self.call_in_loop = folder, call_in_loop
+        self.jobs: queue.SimpleQueue[_Job] = queue.SimpleQueue()
+        self.pending = 0  # jobs handed over whose callback has not run
+        self.refused_since: float | None = None
         self.db: sqlite3.Connection | None = None
 
-    def open(self, members: tuple[str, ...], first: bool) -> Saved:
-        """What is there; with nothing there, or nothing sound, a new identity, which votes at once only on
-        the first start of the whole system."""
+    def open(self, members: tuple[str, ...], first: bool) -> RecoveredState:
+        """What the file holds. Without a sound one: a new identity, which votes at once only on the first
+        start of the whole system. Waits for as long as the disk refuses."""
         while True:
             try:
                 os.makedirs(self.folder, exist_ok=True)
-                return self._found(os.path.join(self.folder, FILE), members, first)
+                return self._open(os.path.join(self.folder, FILE), members, first)
             except (OSError, sqlite3.OperationalError) as error:
-                self._troubled(error)
-            time.sleep(AGAIN_S)
+                self._on_refused(error)
+            time.sleep(RETRY_INTERVAL_S)
+
+    def start(self) -> None:
+        """Starts the thread that writes."""
+        threading.Thread(target=self._run, daemon=True, name="disk").start()
+
+    def write(self, writes: list[Write], on_written: Callable[[], None]) -> None:
+        """`on_written` is called in the loop once these, and all handed over before, are on disk."""
+        if not writes and not self.pending:
+            return on_written()
+        self.pending += 1
+        self.jobs.put(_Job(writes, on_written))
+
+    # Opening.
 
-    def _found(self, path: str, members: tuple[str, ...], first: bool) -> Saved:
+    def _open(self, path: str, members: tuple[str, ...], first: bool) -> RecoveredState:
         try:
-            self.db = self._connected(path)
+            self.db = self._connect(path)
             saved = self._read()
             if saved is not None:
-                return self._booted(saved)
+                return self._count_start(saved)
         except (
             StorageCorruptedError,
             sqlite3.DatabaseError,
@@ -96,30 +131,31 @@
         ) as error:
             if self.db is not None:
                 self.db.close()
-            if getattr(error, "sqlite_errorcode", 0) & 0xFF in REFUSED:
+            if getattr(error, "sqlite_errorcode", 0) & PRIMARY_CODE_MASK in REFUSALS:
                 raise
             log_event("disk_damaged", file=FILE, fault=error)
-            for name in (FILE, FILE + "-wal", FILE + "-journal"):
-                if os.path.exists(os.path.join(self.folder, name)):
-                    os.remove(os.path.join(self.folder, name))
-            self.db = self._connected(path)
+            self._remove_files()
+            self.db = self._connect(path)
             first = False
         identity = (0 if first else 1, uuid.uuid4().hex[:16])
-        return self._booted(Saved(identity, members, voting=first, known=first))
+        return self._count_start(RecoveredState(identity, members, voting=first, members_known=first))
 
-    def _booted(self, saved: Saved) -> Saved:
-        """One start more, and that is on disk before anything else is done."""
+    def _remove_files(self) -> None:
+        for name in (FILE, FILE + "-wal", FILE + "-journal"):
+            if os.path.exists(os.path.join(self.folder, name)):
+                os.remove(os.path.join(self.folder, name))
+
+    def _count_start(self, saved: RecoveredState) -> RecoveredState:
+        """Counts this start, on disk before anything else is done."""
         saved.start_count += 1
         try:
-            self.db.execute(
-                "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", ("boots", *_seal("boots", saved.start_count))
-            )
+            self._set_meta(START_COUNT, saved.start_count)
         except sqlite3.Error:
             self.db.close()
             raise
         return saved
 
-    def _connected(self, path: str) -> sqlite3.Connection:
+    def _connect(self, path: str) -> sqlite3.Connection:
         db = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
         db.execute("PRAGMA locking_mode=EXCLUSIVE")
         db.execute("PRAGMA journal_mode=WAL")
@@ -131,87 +167,79 @@
         )
         return db
 
-    def _read(self) -> Saved | None:
+    def _read(self) -> RecoveredState | None:
         if self.db.execute("PRAGMA quick_check").fetchone()[0] != "ok":
             raise StorageCorruptedError("quick_check")
         meta = {name: _unseal(body, seal, name) for name, body, seal in self.db.execute("SELECT * FROM meta")}
-        if "disk" not in meta:
+        if DISK not in meta:
             return None
-        if meta["format"] != FORMAT:
-            raise StorageCorruptedError(f"format {meta['format']!r}")
+        if meta[FORMAT_META] != FORMAT:
+            raise StorageCorruptedError(f"format {meta[FORMAT_META]!r}")
         rows = [
             _unseal(body, seal, kind, name)
             for kind, name, body, seal in self.db.execute("SELECT * FROM items")
         ]
-        return Saved.found(meta, rows)
-
-    def start(self) -> None:
-        threading.Thread(target=self._run, daemon=True, name="disk").start()
+        return RecoveredState.from_stored(meta, rows)
 
-    def put(self, writes: list[Write], then: Callable[[], None]) -> None:
-        """`then` is called once these, and all that was put before, are on disk."""
-        if not writes and not self.pending:
-            return then()
-        self.pending += 1
-        self.jobs.put((writes, then))
+    # Writing, in the thread.
 
     def _run(self) -> None:
         while True:
             jobs = [self.jobs.get()]
             while not self.jobs.empty():
                 jobs.append(self.jobs.get())
-            writes = [write for job in jobs for write in job[0]]
-            while writes and not self._written(writes):
-                time.sleep(AGAIN_S)
-            self.later(lambda jobs=jobs: self._told(jobs))
+            writes = [write for job in jobs for write in job.writes]
+            while writes and not self._commit(writes):
+                time.sleep(RETRY_INTERVAL_S)
+            self.call_in_loop(lambda jobs=jobs: self._on_written(jobs))
 
-    def _told(self, jobs: list) -> None:
+    def _on_written(self, jobs: list[_Job]) -> None:
         self.pending -= len(jobs)
-        for _, then in jobs:
-            then()
+        for job in jobs:
+            job.on_written()
 
-    def _written(self, writes: list[Write]) -> bool:
-        db = self.db
+    def _commit(self, writes: list[Write]) -> bool:
+        """One transaction; False where the disk refused it."""
         try:
-            db.execute("BEGIN IMMEDIATE")
+            self.db.execute("BEGIN IMMEDIATE")
             for write in writes:
-                if write[0] == "meta":
-                    db.execute(
-                        "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)",
-                        (write[1], *_seal(write[1], write[2])),
-                    )
-                    if write[1] == "disk":
-                        db.execute(
-                            "INSERT OR REPLACE INTO meta VALUES (?, ?, ?)",
-                            ("format", *_seal("format", FORMAT)),
-                        )
-                elif write[0] == "drop":
-                    db.executemany("DELETE FROM items WHERE kind = ? AND name = ?", write[1])
-                else:
-                    for start in range(0, len(write[1]), SLICE):
-                        self._keep(write[1][start : start + SLICE])
-            db.execute("COMMIT")
+                self._apply(write)
+            self.db.execute("COMMIT")
         except sqlite3.Error as error:
-            self._troubled(error)
+            self._on_refused(error)
             try:
-                db.execute("ROLLBACK")
+                self.db.execute("ROLLBACK")
             except sqlite3.Error:
                 pass  # nothing was begun
             return False
-        if self.troubled_since is not None:
-            log_event("disk_writes_again", after=time.monotonic() - self.troubled_since)
-            self.troubled_since = None
+        if self.refused_since is not None:
+            log_event("disk_writes_again", after=time.monotonic() - self.refused_since)
+            self.refused_since = None
         return True
 
-    def _keep(self, rows: list) -> None:
-        """One slice of a transaction: all of it, with what says that it is settled, is there or nothing."""
+    def _apply(self, write: Write) -> None:
+        match write:
+            case SetMeta(name, value):
+                self._set_meta(name, value)
+                if name == DISK:
+                    self._set_meta(FORMAT_META, FORMAT)
+            case DeleteRows(keys):
+                self.db.executemany("DELETE FROM items WHERE kind = ? AND name = ?", keys)
+            case PutRows(rows):
+                for start in range(0, len(rows), ROWS_PER_SLICE):
+                    self._put_rows(rows[start : start + ROWS_PER_SLICE])
+
+    def _set_meta(self, name: str, value: object) -> None:
+        self.db.execute("INSERT OR REPLACE INTO meta VALUES (?, ?, ?)", (name, *_seal(name, value)))
+
+    def _put_rows(self, rows: list[Row]) -> None:
         self.db.executemany(
             "INSERT OR REPLACE INTO items VALUES (?, ?, ?, ?)",
             [(row[0], row[1], *_seal(row[0], row[1], row)) for row in rows],
         )
-        time.sleep(0)
+        time.sleep(0)  # lets the loop's thread run
 
-    def _troubled(self, error: Exception) -> None:
-        if self.troubled_since is None:
-            self.troubled_since = time.monotonic()
+    def _on_refused(self, error: Exception) -> None:
+        if self.refused_since is None:
+            self.refused_since = time.monotonic()
             log_event("disk_refuses", fault=error)
--- a/foxspread/mesh/simulation/disks.py
+++ b/foxspread/mesh/simulation/disks.py
@@ -6,7 +6,14 @@
 
 import orjson
 
-from foxspread.mesh.replication.acceptor import Saved, Write
+from foxspread.mesh.replication.stored_state import (
+    START_COUNT,
+    DeleteRows,
+    PutRows,
+    RecoveredState,
+    SetMeta,
+    Write,
+)
 from foxspread.mesh.simulation.world import World
 
 SYNC_S = 0.005
@@ -25,14 +32,14 @@
         self.under_way: list[tuple[list[Write], Callable[[], None]]] = []
         self.turn = 0  # of the machine that has it open: what an earlier one asked for is never told
 
-    def open(self, members: tuple[str, ...], first: bool) -> Saved:
+    def open(self, members: tuple[str, ...], first: bool) -> RecoveredState:
         if "disk" not in self.meta:
             identity = (0 if first else 1, f"{self.name}.{self.wipes}.{self.turn}")
-            self.meta["boots"] = b"1"
-            return Saved(identity, members, voting=first, known=first, start_count=1)
-        self.meta["boots"] = b"%d" % (orjson.loads(self.meta.get("boots", b"0")) + 1)
+            self.meta[START_COUNT] = b"1"
+            return RecoveredState(identity, members, voting=first, members_known=first, start_count=1)
+        self.meta[START_COUNT] = b"%d" % (orjson.loads(self.meta.get(START_COUNT, b"0")) + 1)
         meta = {name: orjson.loads(body) for name, body in self.meta.items()}
-        return Saved.found(meta, [orjson.loads(body) for body in self.items.values()])
+        return RecoveredState.from_stored(meta, [orjson.loads(body) for body in self.items.values()])
 
     def wipe(self) -> None:
         """Its machine must be down."""
@@ -46,7 +53,7 @@
         self.jobs, self.under_way = [], []
         self.turn += 1
 
-    def put(self, writes: list[Write], then: Callable[[], None]) -> None:
+    def write(self, writes: list[Write], then: Callable[[], None]) -> None:
         if not writes and not self.jobs and not self.under_way:
             return then()
         self.jobs.append((writes, then))
@@ -74,11 +81,12 @@
     def _keep(self) -> None:
         for writes, _ in self.under_way:
             for write in writes:
-                if write[0] == "meta":
-                    self.meta[write[1]] = orjson.dumps(write[2])
-                elif write[0] == "drop":
-                    for key in write[1]:
-                        self.items.pop(tuple(key), None)
-                else:
-                    for row in write[1]:
-                        self.items[row[0], row[1]] = orjson.dumps(row)
+                match write:
+                    case SetMeta(name, value):
+                        self.meta[name] = orjson.dumps(value)
+                    case DeleteRows(keys):
+                        for key in keys:
+                            self.items.pop(key, None)
+                    case PutRows(rows):
+                        for row in rows:
+                            self.items[row[0], row[1]] = orjson.dumps(row)
--- a/foxspread/mesh/simulation/explore.py
+++ b/foxspread/mesh/simulation/explore.py
@@ -16,15 +16,28 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import THEIRS, Item, Key, unpack_item
+from foxspread.mesh.configuration.items import THEIRS, Item, Key
 from foxspread.mesh.errors import InvariantViolation, Failure
-from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
-from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Message, Saved, Acceptor
-from foxspread.mesh.replication.proposer import ProposerOutput, Proposer
+from foxspread.mesh.replication.learner import Learner, unpack_row
+from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, Learned, Response
+from foxspread.mesh.replication.messages import (
+    Accept,
+    Accepted,
+    Behind,
+    Enroll,
+    Enrolled,
+    Message,
+    Nack,
+    Prepare,
+    Promise,
+    ProposerReply,
+    decode,
+)
+from foxspread.mesh.replication.proposer import Proposer, ProposerOutput
+from foxspread.mesh.replication.stored_state import DeleteRows, PutRows, RecoveredState, SetMeta, Write
 from foxspread.mesh.simulation.machines import Cores
 
 NEVER = 1e9
-ANSWERS = ("promise", "nack", "behind", "stale", "accepted")
 Action = tuple  # what is done, and with what
 
 
@@ -71,23 +84,23 @@
         for name in sorted({*case.members, *case.standbys, *(name for name, _ in case.calls)}):
             table.lives[name], table.starts[name] = 0, dict(case.starts_of).get(name, case.starts)
             voting = name in case.members or name in case.standbys
-            saved = Saved((0, name), case.members, voting=voting, known=True)
+            saved = RecoveredState((0, name), case.members, voting=voting, members_known=True)
             table._begin(name, saved)
         for name, item in case.calls:
             proposer = table.proposers[name]
-            proposer.start_at = NEVER
+            proposer.next_attempt_at = NEVER
             proposer.submit(0.0, item, [item], NEVER)
         return table
 
-    def _begin(self, name: str, saved: Saved | None = None) -> None:
+    def _begin(self, name: str, saved: RecoveredState | None = None) -> None:
         if saved is not None:
             self.disks[name] = {"meta": {}, "items": {}}
         else:
             there = self.disks[name]
             meta = {k: orjson.loads(v) for k, v in there["meta"].items()}
-            saved = Saved.found(meta, [orjson.loads(v) for v in there["items"].values()])
+            saved = RecoveredState.from_stored(meta, [orjson.loads(v) for v in there["items"].values()])
         acceptor = self.acceptors[name] = self.cores.acceptor(name, saved)
-        self._write(name, acceptor.first())
+        self._write(name, acceptor.initial_writes())
         self.proposers[name] = self.cores.proposer(acceptor, f"{name}.{self.lives[name]}", _middle)
 
     def copied(self) -> "Table":
@@ -152,7 +165,7 @@
         there = [
             number
             for number, each in enumerate(self.flying)
-            if each[:2] == (sender, to) and loads(each[2])["t"] == kind
+            if each[:2] == (sender, to) and loads(each[2]).kind == kind
         ]
         self.do(("deliver", there[-1 if newest else 0]))
 
@@ -160,7 +173,7 @@
         """A ballot, or another in place of one that is under way."""
         self._touch(name)
         proposer = self.proposers[name]
-        proposer.start_at, proposer.round_until = 0.0, 0.0
+        proposer.next_attempt_at, proposer.phase_deadline = 0.0, 0.0
         self.starts[name] -= 1
         self._do(name, proposer.tick(0.0))
 
@@ -172,22 +185,21 @@
     def wipe(self, name: str) -> None:
         self.wipes -= 1
         self._end(name)
-        self._begin(name, Saved((1, f"{name}{self.lives[name]}"), self.case.members))
+        self._begin(name, RecoveredState((1, f"{name}{self.lives[name]}"), self.case.members))
         self.enrol(name)
 
     def enrol(self, name: str) -> None:
         for member in self.case.members:
             if member != name:
-                self._send(name, member, {"t": "enrol", "disk": self.acceptors[name].disk})
+                self._send(name, member, Enroll(self.acceptors[name].disk))
 
     def news(self, one: str, other: str) -> None:
         self._touch(other)
         there, here = self.acceptors[one].learner, self.acceptors[other]
-        found = here.commit(there.committed_number) or here.learn(
-            there.committed_number, there.since(here.learner.committed_number)
+        learned = here.commit(there.committed_number) or here.learn(
+            there.committed_number, there.changed_since(here.learner.committed_number)
         )
-        self._write(other, found[0])
-        self._show(found[1])
+        self._take_learned(other, learned)
 
     def _end(self, name: str) -> None:
         self._touch(name)
@@ -199,53 +211,63 @@
 
     def _hear(self, sender: str, to: str, message: Message) -> None:
         self._touch(to)
-        acceptor, kind = self.acceptors[to], message["t"]
-        if kind in ("prepare", "accept"):
-            self._answer(to, sender, *getattr(acceptor, kind)(message))
-        elif kind == "enrol":
-            self._answer(to, sender, *acceptor.enrol(sender, message))
-        elif kind == "enrolled":
-            if (found := acceptor.take_in(sender, message)) is not None:
-                self._write(to, found[0])
-                self._show(found[1])
-                if not acceptor.known:
-                    self.enrol(to)
-        else:
-            self._do(to, self.proposers[to].heard(0.0, sender, message))
-
-    def _answer(self, me: str, to: str, writes: list, reply: Message | None, new: list[Item]) -> None:
-        self._write(me, writes)
-        self._show(new)
-        if reply is not None:
-            self._send(me, to, reply)
+        acceptor = self.acceptors[to]
+        match message:
+            case Prepare():
+                self._respond(to, sender, acceptor.prepare(message))
+            case Accept():
+                self._respond(to, sender, acceptor.accept(message))
+            case Enroll():
+                self._respond(to, sender, acceptor.enroll(sender, message))
+            case Enrolled():
+                if (learned := acceptor.take_enrolled(sender, message)) is not None:
+                    self._take_learned(to, learned)
+                    if not acceptor.members_known:
+                        self.enrol(to)
+            case _:
+                self._do(to, self.proposers[to].receive(0.0, sender, message))
+
+    def _take_learned(self, me: str, learned: Learned) -> None:
+        self._write(me, learned.writes)
+        self._show(learned.new_items)
+
+    def _respond(self, me: str, to: str, response: Response) -> None:
+        self._write(me, response.writes)
+        self._show(response.new_items)
+        if response.reply is not None:
+            self._send(me, to, response.reply)
 
     def _do(self, me: str, out: ProposerOutput) -> None:
         self._write(me, out.writes)
-        self._show(out.new)
+        self._show(out.new_items)
         for to, message in out.sends:
             self._send(me, to, message)
-        for item, outcome in out.done:
+        for item, outcome in out.completed:
             if not isinstance(outcome, Failure) or outcome.status < 500:
                 self.told.append((item, outcome is True))
         if (proposer := self.proposers[me]).proposal_number is None:
-            proposer.start_at = NEVER
+            proposer.next_attempt_at = NEVER
 
     def _send(self, me: str, to: str, message: Message) -> None:
         if me == to:
             self._hear(me, to, message)
-        elif self.case.prompt and message["t"] in ANSWERS:
+        elif self.case.prompt and isinstance(message, ProposerReply):
             if not self.deaf:
-                self._hear(me, to, loads(orjson.dumps(message)))
+                self._hear(me, to, loads(orjson.dumps(message.packed())))
         else:
-            self.flying.append((me, to, orjson.dumps(message)))
+            self.flying.append((me, to, orjson.dumps(message.packed())))
 
-    def _write(self, name: str, writes: list) -> None:
+    def _write(self, name: str, writes: list[Write]) -> None:
         there = self.disks[name]
         for write in writes:
-            if write[0] == "meta":
-                there["meta"][write[1]] = orjson.dumps(write[2])
-            else:
-                there["items"].update({(row[0], row[1]): orjson.dumps(row) for row in write[1]})
+            match write:
+                case SetMeta(meta_name, value):
+                    there["meta"][meta_name] = orjson.dumps(value)
+                case PutRows(rows):
+                    there["items"].update({(row[0], row[1]): orjson.dumps(row) for row in rows})
+                case DeleteRows(keys):
+                    for key in keys:
+                        there["items"].pop(key, None)
 
     # What must hold.
 
@@ -294,28 +316,25 @@
 
     def prune(self) -> None:
         """Without what comes to nothing: answers to ballots that are over."""
-        kept = []
-        for each in self.flying:
-            message = loads(each[2])
-            proposer, kind = self.proposers[each[1]], message["t"]
-            if kind in ("promise", "accepted", "behind", "nack"):
-                if (
-                    proposer.proposal_number is None
-                    or unpack_proposal_number(message["b"]) != proposer.proposal_number
-                ):
-                    continue
-                if kind == "promise" and (proposer.value is not None or each[0] in proposer.promises):
-                    continue
-            elif kind == "enrolled" and self.acceptors[each[1]].known:
-                continue
-            elif self.case.prompt and kind in ("prepare", "accept"):
-                sender, at = self.proposers[each[0]], unpack_proposal_number(message["b"])
-                if kind == "prepare" and sender.proposal_number != at:
-                    continue  # it would only keep others from being heard
-                if at < self.acceptors[each[1]].promised and not self.starts[each[0]]:
-                    continue  # it would only end a ballot, as never coming does
-            kept.append(each)
-        self.flying = sorted(kept)
+        self.flying = sorted(each for each in self.flying if not self._comes_to_nothing(*each))
+
+    def _comes_to_nothing(self, sender: str, to: str, packed: bytes) -> bool:
+        message, receiver = loads(packed), self.proposers[to]
+        match message:
+            case Promise() | Accepted() | Behind() | Nack():
+                if receiver.proposal_number is None or message.proposal_number != receiver.proposal_number:
+                    return True
+                first_phase = receiver.proposed_delta is None
+                return isinstance(message, Promise) and (not first_phase or sender in receiver.promises)
+            case Enrolled():
+                return self.acceptors[to].members_known
+            case Prepare() | Accept() if self.case.prompt:
+                number = message.proposal_number
+                if isinstance(message, Prepare) and self.proposers[sender].proposal_number != number:
+                    return True  # it would only keep others from being heard
+                # Refused, it would only end an attempt, as never coming does.
+                return number < self.acceptors[to].promised and not self.starts[sender]
+        return False
 
     def key(self) -> bytes:
         rows: list[Any] = [self.flying, self.starts, self.crashes, self.wipes, sorted(self.shown.items())]
@@ -338,17 +357,21 @@
             sorted(acceptor.disks.items()),
         ),
         sorted((item.key, item.version, str(item.content)) for item in acceptor.delta.values()),
-        (learner.committed_number, sorted(learner.at.items()), sorted(map(str, learner.items.values()))),
-        sorted(map(str, acceptor.enrolled.items())),
+        (
+            learner.committed_number,
+            sorted(learner.changed_at.items()),
+            sorted(map(str, learner.items.values())),
+        ),
+        sorted(map(str, acceptor.enrolment_replies.items())),
         (
             proposer.incarnation,
-            proposer.seen,
+            proposer.highest_seen,
             proposer.proposal_number,
             len(proposer.waiting),
             len(proposer.running),
         ),
-        (sorted(map(str, proposer.promises.items())), str(sorted(proposer.accepts))),
-        sorted(map(str, (proposer.value or {}).values())),
+        (sorted(map(str, proposer.promises.items())), str(sorted(proposer.acceptances))),
+        sorted(map(str, (proposer.proposed_delta or {}).values())),
     )
     return repr(rows).encode()
 
@@ -369,7 +392,8 @@
 
 @lru_cache(1 << 16)
 def loads(packed: bytes) -> Message:
-    return orjson.loads(packed)
+    """The message that these bytes are."""
+    return decode(orjson.loads(packed))
 
 
 def _middle() -> float:
@@ -430,8 +454,9 @@
         return " ".join(map(str, action))
     sender, to, packed = table.flying[action[1]]
     message = loads(packed)
-    ballot_or_disk = message.get("b", message.get("disk"))
-    items = [item for item, _ in map(unpack_row, message.get("rows", ()))]
-    items += map(unpack_item, message.get("delta", ()))
+    is_enrolment = isinstance(message, Enroll | Enrolled)
+    number = list(message.disk if is_enrolment else message.proposal_number)
+    items = [item for item, _ in map(unpack_row, getattr(message, "rows", None) or ())]
+    items += getattr(message, "delta", ())
     named = [f"{item.name}@r{item.version}" for item in items]
-    return " ".join([sender, ">", to, message["t"], str(ballot_or_disk), *named])
+    return " ".join([sender, ">", to, message.kind, str(number), *named])
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -21,8 +21,10 @@
     unpack_row,
 )
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.replica import PATIENCE_S, Replica
-from foxspread.mesh.replication.reconfiguration import Reconfiguration, ClusterView
+from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
+from foxspread.mesh.replication.cluster_view import ClusterView
+from foxspread.mesh.replication.messages import decode
+from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
 from foxspread.mesh.simulation.invariants import shown
@@ -66,10 +68,10 @@
         self.flushing = False
 
     def _holds(self, learner: Learner) -> None:
-        def small(after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-            return Learner.piece(learner, after, most, bare)
+        def small(after: Offset = START, limit_bytes: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
+            return Learner.chunk(learner, after, limit_bytes, bare)
 
-        self.learner, learner.piece = learner, small
+        self.learner, learner.chunk = learner, small
         self.snapshot_transfer = self.fleet.cores.snapshot_transfer(learner, self.world.draw)
 
     @property
@@ -134,7 +136,7 @@
     def _met(self, name: str) -> None:
         self.anti_entropy.left(name)
         self.anti_entropy.met(name)
-        self.snapshot_transfer.left(name)
+        self.snapshot_transfer.on_peer_lost(name)
         if versions := self.anti_entropy.whole(name):
             self._send(name, {"t": "have", "v": versions})
 
@@ -145,7 +147,7 @@
         elif kind == "have":
             committed_number = unpack_proposal_number(message["v"][COMMITTED_SET])
             if self._learns_from(sender):
-                self.snapshot_transfer.told(sender, committed_number)
+                self.snapshot_transfer.on_peer_committed(sender, committed_number)
             self._noticed(committed_number)
             self._soon()
         elif kind == "pull":
@@ -163,9 +165,10 @@
         elif kind == "piece":
             if self._may_tell(sender):
                 has_storage = isinstance(self.fleet.parties[sender], Machine)
-                self._send(sender, SnapshotTransfer.answer(self.learner, message, self._age(), has_storage))
+                reply = SnapshotTransfer.reply(self.learner, decode(message), self._age(), has_storage)
+                self._send(sender, reply.packed())
         elif kind == "rows":
-            if (taken := self.snapshot_transfer.heard(self.clock(), sender, message)) is not None:
+            if (taken := self.snapshot_transfer.receive(self.clock(), sender, decode(message))) is not None:
                 self._take(taken)
             self._soon()
 
@@ -209,7 +212,7 @@
         for peer, versions in self.anti_entropy.notices():
             self._send(peer, {"t": "have", "v": versions})
         for peer, message in self.snapshot_transfer.step(self.clock()):
-            self._send(peer, message)
+            self._send(peer, message.packed())
 
     def _send(self, to: str, message: dict[str, Any]) -> None:
         self.fleet.links.send(self.name, to, message)
@@ -233,15 +236,15 @@
 
     def _hears_news(self, sender: str, news: dict[str, Any]) -> None:
         if (committed_number := unpack_proposal_number(news["upto"])) > self.learner.committed_number:
-            self.snapshot_transfer.told(sender, committed_number)
+            self.snapshot_transfer.on_peer_committed(sender, committed_number)
         else:
             self._based(news["at"], news["age"])
 
     def _take(self, taken: ReceivedRows) -> None:
-        take = self.learner.replace if taken.replaced else self.learner.fold
+        take = self.learner.replace if taken.complete_set else self.learner.fold
         self._show(take(taken.committed_number, map(unpack_row, taken.rows)))
         self.fleet.judge.tells(self.named, "shows the set", self.learner.items)
-        self._based(self.clock(), taken.age)
+        self._based(self.clock(), taken.staleness_s)
 
     def _based(self, asked_at: float, age: float | None) -> None:
         self.readiness.told(self.clock(), asked_at, age)
@@ -294,8 +297,8 @@
         self.core = fleet.cores.replica(
             self.clock, self.named, draw, self._put, self._send, self._hears_itself, self._show
         )
-        self.core.proposes_with = fleet.cores.proposer
-        self.core.others = lambda: [each.name for each in fleet.machines if each is not self]
+        self.core.proposer_class = fleet.cores.proposer
+        self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
         self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
         self.reconfiguration = fleet.cores.reconfiguration(self.name, self.named, draw)
         self.in_quorum_contact = False
@@ -308,7 +311,7 @@
 
     def _put(self, writes: list, then: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.disk.put(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
+        self.disk.write(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
 
     def _hears_itself(self, call: Callable[..., None], *told: Any) -> None:
         self.later(0.0, lambda: call(*told))
@@ -320,10 +323,10 @@
             self.fleet.judge.over(self.wiped)
             self.wiped = None
         now = self.clock()
-        if (asking := self.quorum_contact.ask(now, self._report())) is not None:
+        if (request := self.quorum_contact.request(now, self._report())) is not None:
             for each in self.fleet.machines:
                 if each is not self:
-                    self._send(each.name, asking)
+                    self._send(each.name, request.packed())
         self._stand()
         if self.ready:
             self.fleet.judge.tells(self.named, "is ready", self.learner.items)
@@ -340,14 +343,14 @@
     def _current(self) -> bool:
         if self.core is None or self.core.acceptor is None:
             return False
-        self.quorum_contact.held(self.core.acceptor.members, self.learner.committed_number)
-        return self.quorum_contact.current(self.clock())
+        self.quorum_contact.update(self.core.acceptor.members, self.learner.committed_number)
+        return self.quorum_contact.is_current(self.clock())
 
     def _report(self) -> Report:
         acceptor = self.core.acceptor
         return Report(
             self.name,
-            acceptor.known and acceptor.voting,
+            acceptor.serves,
             acceptor.epoch,
             acceptor.learner.committed_number,
             max(acceptor.accepted, acceptor.learner.committed_number),
@@ -374,38 +377,36 @@
         return isinstance(self.fleet.parties[to], Machine) or self._current()
 
     def _age(self) -> float | None:
-        return self.quorum_contact.age(self.clock()) if self._current() else None
+        return self.quorum_contact.staleness_s(self.clock()) if self._current() else None
 
     # Who the members are.
 
     def _view(self, now: float) -> ClusterView:
         acceptor = self.core.acceptor
-        reports = {name: (at, report) for name, (report, at) in self.quorum_contact.reports.items()}
-        reports[self.name] = now, self._report()
-        self.quorum_contact.held(acceptor.members, self.learner.committed_number)
-        return ClusterView(
-            self.name,
+        self.quorum_contact.update(acceptor.members, self.learner.committed_number)
+        return ClusterView.of(
+            now,
+            self._report(),
             acceptor.members,
-            self.learner.items.get((LEASE, MEMBERS)),
-            reports,
-            self.learner.committed_number,
+            self.learner,
+            self.quorum_contact.reports,
+            self.quorum_contact.staleness_s(now),
             self.fleet.plan.tolerate,
             0,
-            self.quorum_contact.age(now),
         )
 
     def _replace(self, now: float) -> None:
         view = self._view(now)
-        if self.leaving and self.reconfiguration.may_go(now, view):
+        if self.leaving and self.reconfiguration.may_leave(now, view):
             return self.fleet.faults.has_left(self)
         if (items := self.reconfiguration.step(now, view)) is None:
             return
 
         def told(outcome: bool | Failure) -> None:
             self.fleet.judge.acted(self.named, items, outcome)
-            self.reconfiguration.told(self.clock(), outcome)
+            self.reconfiguration.on_outcome(self.clock(), outcome)
 
-        self.core.ask(items, told)
+        self.core.call(items, told)
 
     # What it hears.
 
@@ -414,26 +415,26 @@
         if kind in ("hello", "have", "pull", "news", "piece", "rows"):
             super().heard(sender, message)
             if kind == "hello" and isinstance(self.fleet.parties[sender], Machine):
-                self.quorum_contact.next_at = self.clock()
-                self.core.reached(sender)
+                self.quorum_contact.next_request_at = self.clock()
+                self.core.on_connected(sender)
         elif kind == "contact":
-            self._send(sender, self.quorum_contact.answer(message, self._report()))
+            self._send(sender, self.quorum_contact.reply(decode(message), self._report()).packed())
         elif kind == "contacted":
-            self.quorum_contact.heard(self.clock(), sender, message)
+            self.quorum_contact.receive(self.clock(), sender, decode(message))
             self._stand()
         else:
-            self.core.heard(sender, message)
+            self.core.receive(sender, message)
 
     def _noticed(self, at: tuple) -> None:
-        self.core.peer_committed(at)
+        self.core.on_peer_committed(at)
 
     def _take(self, taken: ReceivedRows) -> None:
-        self.core.learn(taken.committed_number, taken.rows, taken.replaced)
+        self.core.learn(taken.committed_number, taken.rows, taken.complete_set)
 
     def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
-        patience = PATIENCE_S if self._current() else CUT_OFF_S
-        self.core.ask(list(items), lambda outcome: tell(outcome, self.theirs()), patience)
+        timeout_s = CALL_TIMEOUT_S if self._current() else CUT_OFF_S
+        self.core.call(list(items), lambda outcome: tell(outcome, self.theirs()), timeout_s)
 
     def theirs(self) -> dict[Key, Item]:
         """What a read tells."""
