--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -1,20 +1,31 @@
 """Cores that are wrong in one thing each: the judge or the explorer has to catch every one."""
 
-from collections.abc import Hashable, Iterable
+from collections.abc import Iterable
 from dataclasses import replace
-from typing import Any
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
 from foxspread.mesh.configuration.idempotency import apply_change
 from foxspread.mesh.control_api.readiness import Readiness
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer, ReceivedRows
+from foxspread.mesh.replication.snapshot_transfer import Peer, ReceivedRows, SnapshotTransfer
 from foxspread.mesh.replication.quorum_contact import QuorumContact
-from foxspread.mesh.replication.learner import NONE, ProposalNumber, unpack_proposal_number, chunk_digest
-from foxspread.mesh.replication.acceptor import Answer, Message, Saved, Acceptor, Write
+from foxspread.mesh.replication.learner import NONE, CommittedItem, ProposalNumber, Row, chunk_digest
+from foxspread.mesh.replication.acceptor import Acceptor, Learned, Response
 from foxspread.mesh.replication.membership import MemberSet
 from foxspread.mesh.replication.replica import Replica
-from foxspread.mesh.replication.proposer import PendingCall, ProposerOutput, Proposer
+from foxspread.mesh.replication.messages import (
+    Accept,
+    Accepted,
+    ContactReply,
+    Enrolled,
+    Prepare,
+    Promise,
+    ProposerReply,
+    SnapshotReply,
+    SnapshotRows,
+)
+from foxspread.mesh.replication.proposer import CompletedCall, PendingCall, Proposer, ProposerOutput
+from foxspread.mesh.replication.stored_state import ACCEPTED, PROMISED, RecoveredState, SetMeta, Write
 from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.disks import SimDisk
 
@@ -22,90 +33,95 @@
 class VotesAtOnce(Acceptor):
     """A wiped one votes at once."""
 
-    def __init__(self, me: str, saved: Saved) -> None:
+    def __init__(self, me: str, saved: RecoveredState) -> None:
         super().__init__(me, saved)
-        self.voting = self.known = True
+        self.voting = self.members_known = True
 
 
 class EnrolledByOne(Acceptor):
-    def enough(self, members: MemberSet) -> int:
+    def required_replies(self, members: MemberSet) -> int:
         return 1
 
 
 class TakesFirst(Acceptor):
     """One that has enrolled holds what the first of the others told, not the newest."""
 
-    def take_in(self, sender: str, message: Message) -> tuple[list[Write], list[Item]] | None:
-        if self.enrolled:
-            first = next(iter(self.enrolled.values()))
-            told = {name: first[name] for name in ("s", "rows", "acc", "delta")}
-            message = {**message, **told}
-        return super().take_in(sender, message)
+    def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
+        if self.enrolment_replies:
+            first = next(iter(self.enrolment_replies.values()))
+            message = replace(
+                message,
+                committed_number=first.committed_number,
+                rows=first.rows,
+                accepted=first.accepted,
+                delta=first.delta,
+            )
+        return super().take_enrolled(sender, message)
 
 
 class PromiseForgotten(Acceptor):
     """Not on disk before the answer, nor after."""
 
-    def _promise(self, asked: ProposalNumber) -> list[Write]:
-        super()._promise(asked)
+    def _promise(self, proposal_number: ProposalNumber) -> list[Write]:
+        super()._promise(proposal_number)
         return []
 
 
 class AcceptForgotten(Acceptor):
-    def accept(self, message: Message) -> Answer:
-        writes, answer, new = super().accept(message)
-        return [each for each in writes if each[1] != "accepted"], answer, new
+    def accept(self, message: Accept) -> Response:
+        writes, reply, new_items = super().accept(message)
+        lost = [each for each in writes if isinstance(each, SetMeta) and each.name == ACCEPTED]
+        return Response([each for each in writes if each not in lost], reply, new_items)
 
 
 class PromisesAnyBallot(Acceptor):
-    def prepare(self, message: Message) -> Answer:
-        self.promised = min(self.promised, unpack_proposal_number(message["b"]))
+    def prepare(self, message: Prepare) -> Response:
+        self.promised = min(self.promised, message.proposal_number)
         return super().prepare(message)
 
 
 class AcceptsAnyBallot(Acceptor):
-    def accept(self, message: Message) -> Answer:
-        self.promised = min(self.promised, unpack_proposal_number(message["b"]))
+    def accept(self, message: Accept) -> Response:
+        self.promised = min(self.promised, message.proposal_number)
         return super().accept(message)
 
 
 class SettlesWhatItHolds(Acceptor):
     """Another's news of a settled ballot settles whatever was accepted here last."""
 
-    def commit(self, at: ProposalNumber) -> tuple[list[Write], list[Item]] | None:
-        if at <= self.learner.committed_number or not self.delta:
+    def commit(self, proposal_number: ProposalNumber) -> Learned | None:
+        if proposal_number <= self.learner.committed_number or not self.delta:
             return None
-        return self.learn(at, [(item, at) for item in self.delta.values()])
+        rows = [CommittedItem(item, proposal_number) for item in self.delta.values()]
+        return self.learn(proposal_number, rows)
 
 
 class SilentlyBrought(Acceptor):
     """What an accept brings along is not shown."""
 
-    def accept(self, message: Message) -> Answer:
-        writes, answer, _ = super().accept(message)
-        return writes, answer, []
+    def accept(self, message: Accept) -> Response:
+        return super().accept(message)._replace(new_items=[])
 
 
 class ActsBeforeChosen(Proposer):
     def _propose(self, now: float, out: ProposerOutput) -> None:
         super()._propose(now, out)
-        if self.value:
-            out.new += self.value.values()
+        if self.proposed_delta:
+            out.new_items += self.proposed_delta.values()
 
 
 class HighestVersion(Proposer):
     """Merges what was accepted by the highest version, not by ballots."""
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
-        best: dict[Key, list] = {}
-        for each in self.promises.values():
-            for told in each["delta"]:
-                key = told[0], told[1]
-                if key not in best or best[key][2] < told[2]:
-                    best[key] = told
-        last = max(unpack_proposal_number(each["acc"]) for each in self.promises.values())
-        for name, each in self.promises.items():
-            self.promises[name] = {**each, "acc": last, "delta": list(best.values())}
+        best: dict[Key, Item] = {}
+        for promise in self.promises.values():
+            for item in promise.delta:
+                if item.key not in best or best[item.key].version < item.version:
+                    best[item.key] = item
+        last = max(promise.accepted for promise in self.promises.values())
+        for name, promise in self.promises.items():
+            self.promises[name] = replace(promise, accepted=last, delta=tuple(best.values()))
         super()._propose(now, out)
 
 
@@ -113,15 +129,13 @@
     """Of two acceptances the older one is taken over."""
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
-        committed_number = max(unpack_proposal_number(each["s"]) for each in self.promises.values())
-        still_open = [
-            each for each in self.promises.values() if unpack_proposal_number(each["acc"]) > committed_number
-        ]
-        if still_open:
-            first = min(still_open, key=lambda each: unpack_proposal_number(each["acc"]))
-            told = {name: first[name] for name in ("acc", "delta")}
-            for name, each in self.promises.items():
-                self.promises[name] = {**each, **told}
+        promises = self.promises
+        committed_number = max(promise.committed_number for promise in promises.values())
+        in_doubt = [promise for promise in promises.values() if promise.accepted > committed_number]
+        if in_doubt:
+            first = min(in_doubt, key=lambda promise: promise.accepted)
+            for name, promise in promises.items():
+                promises[name] = replace(promise, accepted=first.accepted, delta=first.delta)
         super()._propose(now, out)
 
 
@@ -129,8 +143,8 @@
     """What may be chosen already is not carried on."""
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
-        for name, each in self.promises.items():
-            self.promises[name] = {**each, "acc": NONE, "delta": []}
+        for name, promise in self.promises.items():
+            self.promises[name] = replace(promise, accepted=NONE, delta=())
         super()._propose(now, out)
 
 
@@ -141,46 +155,48 @@
         super()._propose(now, out)
         for call in [each for each in self.running if isinstance(each.outcome, Failure)]:
             self.running.remove(call)
-            out.done.append((call.token, call.outcome))
+            out.completed.append(CompletedCall(call.token, call.outcome))
 
 
 class AckAfterOne(Proposer):
-    def heard(self, now: float, sender: str, message: Message) -> ProposerOutput:
+    def receive(self, now: float, sender: str, message: ProposerReply) -> ProposerOutput:
         if (
-            message["t"] == "accepted"
-            and self.value is not None
-            and unpack_proposal_number(message["b"]) == self.proposal_number
+            isinstance(message, Accepted)
+            and self.proposed_delta is not None
+            and message.proposal_number == self.proposal_number
         ):
             out = ProposerOutput()
-            self._chosen(now, out)
+            self._commit(now, out)
             return out
-        return super().heard(now, sender, message)
+        return super().receive(now, sender, message)
 
 
 class ReadsItself(Proposer):
     """A read is answered from the copy at hand."""
 
-    def submit(self, now: float, token: Any, items: Iterable[Item], until: float) -> ProposerOutput:
+    def submit(self, now: float, token: object, items: Iterable[Item], deadline: float) -> ProposerOutput:
         items = list(items)
-        return super().submit(now, token, items, until) if items else ProposerOutput(done=[(token, True)])
+        if not items:
+            return ProposerOutput(completed=[CompletedCall(token, True)])
+        return super().submit(now, token, items, deadline)
 
 
 class AnswersFirst(Replica):
     """Answers go out before their writes are on disk."""
 
-    def _answer(self, sender: str, writes: list[Write], reply: Message | None, new: list[Item]) -> None:
-        if reply is not None:
-            self._pass(sender, reply)
-        super()._answer(sender, writes, None, new)
+    def _respond(self, sender: str, response: Response) -> None:
+        if response.reply is not None:
+            self._send(sender, response.reply)
+        super()._respond(sender, response._replace(reply=None))
 
 
 class NeverTakesUp(Replica):
     """What a proposer that died has left is taken up by nobody; and a copy that lacks news asks for none."""
 
-    def peer_committed(self, at: ProposalNumber) -> None:
+    def on_peer_committed(self, proposal_number: ProposalNumber) -> None:
         pass
 
-    def learn(self, committed_number: ProposalNumber, rows: list, whole: bool = False) -> None:
+    def learn(self, committed_number: ProposalNumber, rows: list[Row], complete_set: bool = False) -> None:
         pass
 
 
@@ -188,7 +204,7 @@
     """Tells as written what is lost with the power."""
 
     def power_lost(self) -> None:
-        for name in ("accepted", "promised"):
+        for name in (ACCEPTED, PROMISED):
             self.meta.pop(name, None)
         super().power_lost()
 
@@ -196,124 +212,125 @@
 class NoneIsGone(Proposer):
     """Which disks others know to be gone is not looked at."""
 
-    def heard(self, now: float, sender: str, message: Message) -> ProposerOutput:
-        if "disks" in message:
-            message = {**message, "disks": {sender: message["disks"][sender]}}
-        return super().heard(now, sender, message)
+    def receive(self, now: float, sender: str, message: ProposerReply) -> ProposerOutput:
+        if isinstance(message, Promise | Accepted):
+            message = replace(message, disks={sender: message.disks[sender]})
+        return super().receive(now, sender, message)
 
 
 class LooksAtNoDisk(Acceptor):
-    def accept(self, message: Message) -> Answer:
-        return super().accept({**message, "disks": {}})
+    def accept(self, message: Accept) -> Response:
+        return super().accept(replace(message, disks={}))
 
 
 class PromisesForgottenByWipe(Acceptor):
     """One that has enrolled has promised nothing."""
 
-    def take_in(self, sender: str, message: Message) -> tuple[list[Write], list[Item]] | None:
-        return super().take_in(sender, {**message, "promised": NONE})
+    def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
+        return super().take_enrolled(sender, replace(message, promised=NONE))
 
 
 class ForgetsOvertaken(Proposer):
     """What held under a number is not known once a newer one holds."""
 
-    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        return super()._judged({key: item.bare for key, item in both.items()}, delta, call, now)
+    def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
+        return super()._evaluate({key: item.bare for key, item in proposed.items()}, delta, call, now)
 
 
 class RefusalNotAgreed(Proposer):
     """An order is refused by what holds, and nobody remembers that."""
 
-    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        changes, outcome = super()._judged(both, delta, call, now)
+    def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
+        changes, outcome = super()._evaluate(proposed, delta, call, now)
         return ({} if isinstance(outcome, Failure) else changes), outcome
 
 
 class RefusalNotLookedUp(Proposer):
     """An order that was refused is judged anew by what holds now."""
 
-    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        known = {key: item for key, item in both.items() if key[0] != REFUSED}
-        return super()._judged(known, delta, call, now)
+    def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
+        known = {key: item for key, item in proposed.items() if key[0] != REFUSED}
+        return super()._evaluate(known, delta, call, now)
 
 
 class NewSetAlone(Proposer):
     """A change of members is counted by the new set, by whoever asks and by whoever has it accepted."""
 
-    def _ask(self, sets: list[MemberSet], out: ProposerOutput) -> None:
-        super()._ask(sets, out)
+    def _send_prepare(self, sets: list[MemberSet], out: ProposerOutput) -> None:
+        super()._send_prepare(sets, out)
         del sets[:-1]
 
     def _propose(self, now: float, out: ProposerOutput) -> None:
         super()._propose(now, out)
-        self.sets = self.sets[-1:]
+        self.member_sets = self.member_sets[-1:]
 
 
 class ChangesAtOnce(Proposer):
     """The next change of members does not wait for the last to be settled, nor for one step."""
 
-    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        return apply_change(both, call.items, call.named, 0.0)
+    def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
+        return apply_change(proposed, call.items, call.digest, 0.0)
 
 
 class InPieces(Acceptor):
     """Nothing wrong: what one that enrols lacks does not fit the answer, and comes in pieces."""
 
-    def rows(self, since: ProposalNumber) -> list | None:
-        return None if since == NONE and self.learner.committed_number > NONE else super().rows(since)
+    def rows_since(self, committed_number: ProposalNumber) -> list[Row] | None:
+        has_rows = self.learner.committed_number > NONE
+        return None if committed_number == NONE and has_rows else super().rows_since(committed_number)
 
 
 class VotesBeforeItHolds(InPieces):
     """It votes and answers as soon as it has enrolled, whatever it still lacks."""
 
-    def take_in(self, sender: str, message: Message) -> tuple[list[Write], list[Item]] | None:
-        found = super().take_in(sender, message)
-        if self.target is not None:
-            self.target, self.voting, self.known = None, True, True
-        return found
+    def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
+        learned = super().take_enrolled(sender, message)
+        if self.enrolment_target is not None:
+            self.enrolment_target, self.voting, self.members_known = None, True, True
+        return learned
 
 
 class AnyFence(Proposer):
     """A lease is taken whatever number it names."""
 
-    def _judged(self, both: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        held = both.get((LEASE, MEMBERS))
+    def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
+        held = proposed.get((LEASE, MEMBERS))
         version = held.version + 1 if held is not None else 1
         items = [replace(each, version=version) if each.kind == LEASE else each for each in call.items]
-        return super()._judged(both, delta, replace(call, items=items), now)
+        return super()._evaluate(proposed, delta, replace(call, items=items), now)
 
 
 class AgeFromTheAnswer(QuorumContact):
     """An age counts from when the answer came."""
 
-    def heard(self, now: float, sender: str, message: dict[str, Any]) -> None:
-        for asking in self.askings:
-            asking.at = now
-        super().heard(now, sender, message)
+    def receive(self, now: float, sender: str, message: ContactReply) -> None:
+        for request in self.pending:
+            request.sent_at = now
+        super().receive(now, sender, message)
 
 
 class ContactByOne(QuorumContact):
     """One answer is as good as a majority's."""
 
-    def held(self, members: MemberSet, committed_number: ProposalNumber) -> None:
-        named = {name for asking in self.askings for name in asking.answers}
-        super().held(MemberSet(members.epoch, tuple(named)[:1]) if named else members, committed_number)
+    def update(self, members: MemberSet, committed_number: ProposalNumber) -> None:
+        named = {name for request in self.pending for name in request.seen_by_member}
+        super().update(MemberSet(members.epoch, tuple(named)[:1]) if named else members, committed_number)
 
 
 class ContactWithoutBallot(QuorumContact):
     """What the others have seen is not asked for."""
 
-    def held(self, members: MemberSet, committed_number: ProposalNumber) -> None:
-        super().held(members, (1 << 60, ""))
+    def update(self, members: MemberSet, committed_number: ProposalNumber) -> None:
+        super().update(members, (1 << 60, ""))
 
 
 class TellsAnyhow(QuorumContact):
     """Told without contact: fresh from the start."""
 
-    def current(self, now: float) -> bool:
+    def is_current(self, now: float) -> bool:
         return True
 
-    def age(self, now: float) -> float | None:
+    def staleness_s(self, now: float) -> float | None:
         return 0.0
 
 
@@ -324,27 +341,24 @@
 class SkipsAPiece(SnapshotTransfer):
     """What follows the first piece is left out."""
 
-    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
-        if message.get("more"):
-            rows, committed_number, horizon = (
-                message["rows"],
-                unpack_proposal_number(message["upto"]),
-                unpack_proposal_number(message.get("horizon", NONE)),
-            )
-            digest = chunk_digest(rows, self.cursor, committed_number, False, horizon)
-            message = {**message, "more": False, "digest": digest}
-        return super().heard(now, peer, message)
+    def receive(self, now: float, peer: Peer, message: SnapshotReply) -> ReceivedRows | None:
+        if isinstance(message, SnapshotRows) and message.chunk.more:
+            chunk = message.chunk
+            digest = chunk_digest(chunk.rows, self.cursor, chunk.committed_number, False, chunk.horizon)
+            message = replace(message, chunk=replace(chunk, more=False, digest=digest))
+        return super().receive(now, peer, message)
 
 
 class ShowsPieces(SnapshotTransfer):
     """What came is shown before the whole is there, and then gone on with."""
 
-    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
-        found = super().heard(now, peer, message)
-        if found is None and message.get("more") and self.staged:
+    def receive(self, now: float, peer: Peer, message: SnapshotReply) -> ReceivedRows | None:
+        received = super().receive(now, peer, message)
+        more = isinstance(message, SnapshotRows) and message.chunk.more
+        if received is None and more and self.staged:
             rows = list(self.staged.values())
             return ReceivedRows((rows[-1][4], rows[-1][5]), rows, False, None)
-        return found
+        return received
 
 
 class ReadyByAnyBasis(Readiness):
--- a/tests/mesh/replication/make_stored_data.py
+++ b/tests/mesh/replication/make_stored_data.py
@@ -21,7 +21,8 @@
 import orjson
 
 from foxspread.mesh.configuration.items import KEPT, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.replication.storage import Storage
 from foxspread.mesh.replication.membership import membership_change
 from foxspread.mesh.replication.replica import Replica
@@ -59,17 +60,17 @@
         self.disk = Storage(str(self.folder), self.calls.put)
         saved = self.disk.open(SEEDS, first)
         self.durable: list[
-            tuple[int, Saved]
+            tuple[int, RecoveredState]
         ] = []  # after each transaction: size of the log, and what is there
-        self.write = self.disk._written
-        self.disk._written = self.written
+        self.write = self.disk._commit
+        self.disk._commit = self.written
         self.disk.start()
         network.starts += 1
         self.replica = Replica(
             lambda: network.now,
             f"{name}{network.starts}",
             lambda: 0.5,
-            self.disk.put,
+            self.disk.write,
             lambda to, message: network.flying.append((name, to, orjson.dumps(message))),
             lambda call, *told: network.soon.append((call, told)),
             lambda items: None,
@@ -107,7 +108,7 @@
                 sender, to, body = self.flying.popleft()
                 message = orjson.loads(body)
                 if to in self.voters and not self.cut(message):
-                    self.voters[to].replica.heard(sender, message)
+                    self.voters[to].replica.receive(sender, message)
 
     def wait(self, seconds: float) -> None:
         for _ in range(round(seconds / STEP_S)):
@@ -120,10 +121,10 @@
         """The outcome of a call; the others are told that it is settled."""
         told: list = []
         replica = self.voters[proposer].replica
-        replica.ask(list(items), told.append)
+        replica.call(list(items), told.append)
         self.run()
         for voter in self.voters.values():
-            voter.replica.peer_committed(replica.acceptor.learner.committed_number)
+            voter.replica.on_peer_committed(replica.acceptor.learner.committed_number)
         self.run()
         return told[0]
 
@@ -159,7 +160,7 @@
     for name in SEEDS:
         network.voters[name] = Voter(network, name, False)
     members = network.voters["a"].replica.acceptor.members
-    disks = network.voters["a"].replica.acceptor.disks_known
+    disks = network.voters["a"].replica.acceptor.disk_identities
     lease = Item(LEASE, MEMBERS, 2, {"holder": "b", "life": "b5"})
     must(network.commit("b", lease, membership_change(members, [*members.of, "d"], disks)))
     # r4, dropped before this ballot, is forgotten; s5, dropped with it, stays known as dropped.
@@ -168,7 +169,7 @@
     must(network.commit("c", route("r2", "s3", 2), Item(SERVICE, "s5", 2, None), forget))
     # A value that all have accepted and nobody knows to be settled.
     network.cut = lambda message: message["t"] == "accepted"
-    network.voters["a"].replica.ask([service("s6", 3)], lambda told: None)
+    network.voters["a"].replica.call([service("s6", 3)], lambda told: None)
     network.run()
 
 
--- a/tests/mesh/replication/scripted_replicas.py
+++ b/tests/mesh/replication/scripted_replicas.py
@@ -1,6 +1,7 @@
 """Orders of messages by hand, on the explorer's table: shorthand."""
 
 from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
+from foxspread.mesh.replication.messages import ProposerReply
 from foxspread.mesh.simulation.fleet import Cores
 from foxspread.mesh.simulation.explore import Case, Table, loads
 
@@ -35,15 +36,15 @@
 def answer(table: Table, sender: str, to: str) -> None:
     """The newest that it has said of a ballot, if anything."""
     for number in reversed(range(len(table.flying))):
-        if table.flying[number][:2] == (sender, to) and "b" in (said := loads(table.flying[number][2])):
-            if said["t"] not in ("prepare", "accept"):
+        if table.flying[number][:2] == (sender, to):
+            if isinstance(loads(table.flying[number][2]), ProposerReply):
                 return table.do(("deliver", number))
 
 
 def begin(table: Table, proposer: str, above: int | None = None) -> None:
     """Its next ballot; `above`: it has heard of that one."""
     if above is not None:
-        table.proposers[proposer].seen = above
+        table.proposers[proposer].highest_seen = above
     table.do(("start", proposer))
 
 
@@ -97,7 +98,7 @@
     wipe(table, "x", "bcd")
     begin(table, "d")
     ask(table, "d", "xc")
-    if table.proposers["d"].value:
+    if table.proposers["d"].proposed_delta:
         put(table, "d", "xc")
     for other in "xb":
         table.passed(other, "a", "promise")
@@ -160,7 +161,7 @@
             table.do(("crash", name))
     begin(table, "c", above=0)
     ask(table, "c", "b")
-    if table.proposers["c"].value:
+    if table.proposers["c"].proposed_delta:
         put(table, "c", "b")
     return table
 
@@ -173,7 +174,7 @@
     table.do(("crash", "c"))
     begin(table, "b")
     ask(table, "b", "c")
-    if table.proposers["b"].value:
+    if table.proposers["b"].proposed_delta:
         put(table, "b", "c")
     table.passed("c", "a", "promise")
     put(table, "a", "c")
--- a/tests/mesh/replication/test_learner.py
+++ b/tests/mesh/replication/test_learner.py
@@ -15,11 +15,11 @@
     end_of_proposal,
 )
 
-LIFE = "w"
+INCARNATION = "w"
 
 
 def at(number: int) -> tuple[int, str]:
-    return number, LIFE
+    return number, INCARNATION
 
 
 def service(name: str, version: int, tag: object = 0) -> Item:
@@ -39,7 +39,7 @@
 
 
 def kept_dropped(version: int, floor: int, number: int) -> Item:
-    return Item(KEPT, "dropped", version, {"floor": floor, "at": [number, LIFE]})
+    return Item(KEPT, "dropped", version, {"floor": floor, "at": [number, INCARNATION]})
 
 
 def committed(*changes: tuple[int, list[Item]]) -> Learner:
@@ -60,12 +60,12 @@
         learner = committed((1, first), (2, [service("s100", 2, "y" * 5000), service("s001", 2)]), (3, []))
         place, found, sizes = START, [], []
         while True:
-            piece = learner.piece(place, 1000)
-            found += piece.rows
-            sizes.append(len(piece.rows))
-            if not piece.more:
+            chunk = learner.chunk(place, 1000)
+            found += chunk.rows
+            sizes.append(len(chunk.rows))
+            if not chunk.more:
                 break
-            place = offset_of(piece.rows[-1])
+            place = offset_of(chunk.rows[-1])
         self.assertEqual(sorted(found, key=offset_of), found)
         self.assertEqual(learner.items, {item.key: item for item, _ in map(unpack_row, found)})
         self.assertEqual(len(found), len(learner.items))
@@ -73,35 +73,35 @@
         self.assertIn(1, sizes)  # the large one
         self.assertEqual(
             (at(3), [], False),
-            (piece.committed_number, learner.piece(end_of_proposal(at(2))).rows, piece.more),
+            (chunk.committed_number, learner.chunk(end_of_proposal(at(2))).rows, chunk.more),
         )
 
     def test_a_digest_stands_for_all_that_is_said(self) -> None:
         learner = committed((1, [service("a", 1), service("b", 1)]))
-        piece = learner.piece(START, 1)
-        said = (piece.rows, START, piece.committed_number, piece.more, piece.horizon)
-        self.assertEqual(piece.digest, chunk_digest(*said))
-        others = (learner.piece().rows, end_of_proposal(at(1)), at(2), False, at(1))
+        chunk = learner.chunk(START, 1)
+        said = (chunk.rows, START, chunk.committed_number, chunk.more, chunk.horizon)
+        self.assertEqual(chunk.digest, chunk_digest(*said))
+        others = (learner.chunk().rows, end_of_proposal(at(1)), at(2), False, at(1))
         for number, other in enumerate(others):
             self.assertNotEqual(
-                piece.digest, chunk_digest(*said[:number], other, *said[number + 1 :]), number
+                chunk.digest, chunk_digest(*said[:number], other, *said[number + 1 :]), number
             )
 
     def test_without_a_disk_nothing_of_the_keepers_own(self) -> None:
         past = (3, ((4, "digest"),))
         rows = [Item(SERVICE, "a", 5, {}, past), refused("r", 3), kept_refused(1, 2), kept_dropped(1, 2, 0)]
-        piece = committed((1, rows)).piece(bare=True)
+        chunk = committed((1, rows)).chunk(bare=True)
         self.assertEqual(
-            [pack_row(kept_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))], piece.rows
+            [pack_row(kept_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))], chunk.rows
         )
 
     def test_places_that_are_stale_do_not_pile_up(self) -> None:
         learner = Learner()
         for number in range(1, 2000):
             learner.fold(at(number), [(service(f"s{number % 5}", number), at(number))])
-        self.assertLess(len(learner.order), 100)
+        self.assertLess(len(learner.offsets), 100)
         self.assertEqual(
-            ["s1", "s2", "s3", "s4"], [each[1] for each in learner.piece(end_of_proposal(at(1995))).rows]
+            ["s1", "s2", "s3", "s4"], [each[1] for each in learner.chunk(end_of_proposal(at(1995))).rows]
         )
 
 
@@ -112,7 +112,7 @@
         grown = Item(SERVICE, "a", 5, {"tag": 0}, (3, ((4, "digest"),)))
         self.assertEqual([], learner.fold(at(2), [(grown, at(2))]))
         self.assertEqual(
-            [grown], [unpack_row(each)[0] for each in learner.piece(end_of_proposal(at(1))).rows]
+            [grown], [unpack_row(each)[0] for each in learner.chunk(end_of_proposal(at(1))).rows]
         )
         other = Item(SERVICE, "a", 5, {"tag": 1}, (3, ()))
         self.assertRaises(InvariantViolation, learner.fold, at(3), [(other, at(3))])
@@ -128,9 +128,11 @@
         self.assertEqual({"b1", "a1", "s1", "refused1"}, names(learner))
         self.assertEqual(12, learner.clock)
         late = committed(changes[0])
-        rows = [unpack_row(each) for each in learner.piece(end_of_proposal(at(1))).rows]
+        rows = [unpack_row(each) for each in learner.chunk(end_of_proposal(at(1))).rows]
         late.fold(at(3), rows)  # its refusal of `a` is another than the one that was collected
-        self.assertEqual((learner.items, learner.at, learner.clock), (late.items, late.at, late.clock))
+        self.assertEqual(
+            (learner.items, learner.changed_at, learner.clock), (late.items, late.changed_at, late.clock)
+        )
         self.assertEqual([], late.collected)  # its row on a disk is the new one
         late.fold(at(4), [(refused("d", 3), at(4)), (service("s", 2), at(4))])
         self.assertEqual([(REFUSED, "d")], late.collected)
@@ -141,7 +143,7 @@
         second = (2, [dropped("a", 2), dropped("b", 7), service("c", 2)])
         third = (3, [dropped("d", 3)])
         learner = committed(first, second, third)
-        early = [unpack_row(each) for each in learner.piece().rows]
+        early = [unpack_row(each) for each in learner.chunk().rows]
         learner.fold(at(4), [(kept_dropped(1, 3, 2), at(4))])
         self.assertEqual({"b7", "c2", "d3", "dropped1"}, names(learner))
         self.assertEqual((at(2), [(SERVICE, "a")]), (learner.horizon, learner.collected))
@@ -159,10 +161,10 @@
         again = Learner()
         again.fold(
             learner.committed_number,
-            [unpack_row(pack_row(item, learner.at[key])) for key, item in learner.items.items()],
+            [unpack_row(pack_row(item, learner.changed_at[key])) for key, item in learner.items.items()],
         )
         for each in (learner, again):
-            each.order, each.collected = each.piece().rows, []
+            each.offsets, each.collected = each.chunk().rows, []
         self.assertEqual(vars(learner), vars(again))
 
 
@@ -171,7 +173,7 @@
         # What was dropped and collected while it was away is told as dropped, before what took its place.
         old = committed((1, [service("a", 1), Item(ROUTE, "r", 1, {}), refused("x", 1)]))
         new = committed((7, [service("a", 6), service("b", 7), kept_dropped(1, 5, 6)]))
-        told = old.replace(new.committed_number, [unpack_row(each) for each in new.piece().rows])
+        told = old.replace(new.committed_number, [unpack_row(each) for each in new.chunk().rows])
         self.assertEqual(Item(ROUTE, "r", 1, None), told[0])
         self.assertEqual({"a6", "b7", "dropped1"}, {f"{each.name}{each.version}" for each in told[1:]})
         self.assertEqual({(ROUTE, "r"), (REFUSED, "x")}, set(old.collected))
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -6,7 +6,9 @@
 
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.acceptor import Saved, Acceptor
+from foxspread.mesh.replication.messages import Accept, Enroll, Prepare
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.simulation.fleet import Cores
 from foxspread.mesh.simulation.mutants import CORES
 from foxspread.mesh.simulation.explore import Case, Table, explore, read_from
@@ -34,7 +36,7 @@
     before = len(table.told)
     begin(table, name, above)
     ask(table, name, others)
-    if table.proposers[name].value is not None:
+    if table.proposers[name].proposed_delta is not None:
         put(table, name, others)
     return table.told[-1] if len(table.told) > before else None
 
@@ -42,7 +44,7 @@
 def submit(table: Table, name: str, item: Item) -> None:
     proposer = table.proposers[name]
     table.starts[name] = 9
-    proposer.start_at = 1e9
+    proposer.next_attempt_at = 1e9
     proposer.submit(0.0, item, [item], 1e9)
 
 
@@ -158,14 +160,16 @@
 
     def test_a_new_identity_rises_above_all_that_were_noted(self) -> None:
         # Chance alone says nothing of which of two disks is the newer one.
-        acceptors = {name: Acceptor(name, Saved((0, name), FIVE, voting=True, known=True)) for name in "abc"}
+        acceptors = {
+            name: Acceptor(name, RecoveredState((0, name), FIVE, voting=True, members_known=True))
+            for name in "abc"
+        }
         for each in acceptors.values():
-            each.enrol("x", {"disk": (1, "z")})
-        acceptor = Acceptor("x", Saved((1, "m"), FIVE))
+            each.enroll("x", Enroll((1, "z")))
+        acceptor = Acceptor("x", RecoveredState((1, "m"), FIVE))
         for _ in range(2):
             for name, each in acceptors.items():
-                _, told, _ = each.enrol("x", {"disk": acceptor.disk})
-                acceptor.take_in(name, told)
+                acceptor.take_enrolled(name, each.enroll("x", Enroll(acceptor.disk)).reply)
         self.assertEqual(((2, "m"), True), (acceptor.disk, acceptor.voting))
         self.assertEqual({(2, "m")}, {each.disks["x"] for each in acceptors.values()})
 
@@ -211,16 +215,17 @@
                 submit(table, "a", each)
                 self.assertEqual((each, True), calls(table, "a", "b"), name)
             done, acceptors, proposer = [], table.acceptors, table.proposers["c"]
-            proposer.seen = 50
+            proposer.highest_seen = 50
             waiting = [("c", *each) for each in proposer.submit(0.0, "call", [item], 1e9).sends]
             while waiting:
                 sender, to, message = waiting.pop(0)
-                if message["t"] in ("prepare", "accept"):
-                    _, said, _ = getattr(acceptors[to], message["t"])(message)
-                    waiting += [(to, "c", said)]
+                if isinstance(message, Prepare):
+                    waiting.append((to, "c", acceptors[to].prepare(message).reply))
+                elif isinstance(message, Accept):
+                    waiting.append((to, "c", acceptors[to].accept(message).reply))
                 else:
-                    out = proposer.heard(0.0, sender, message)
-                    done += out.done
+                    out = proposer.receive(0.0, sender, message)
+                    done += out.completed
                     waiting += [("c", *each) for each in out.sends]
             (_, outcome), held = done[0], acceptors["c"].learner.items.get(item.key)
             self.assertEqual(status, outcome.status if isinstance(outcome, Failure) else None, name)
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -10,7 +10,8 @@
 from foxspread.mesh.configuration.items import LEASE, Item
 from foxspread.mesh.errors import conflict, outcome_unknown
 from foxspread.mesh.replication import reconfiguration as r
-from foxspread.mesh.replication.quorum_contact import Report
+from foxspread.mesh.replication.messages import Report
+from foxspread.mesh.replication.quorum_contact import ReceivedReport
 from foxspread.mesh.replication.learner import Learner
 from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
 
@@ -30,7 +31,7 @@
         self.lags: set[str] = set()  # keepers that lack what was settled after it
         self.deaf: set[str] = set()  # "ab": a does not hear b
         self.heard = {name: self.now for name in self.names}
-        self.reports: dict[str, tuple[float, Report]] = {}
+        self.reports: dict[str, ReceivedReport] = {}
         self.cores = {name: r.Reconfiguration(name, f"{name}+1", lambda: 0.5) for name in self.names}
         self.log: list[tuple[float, str, tuple[str, ...]]] = []  # changes: when, by whom, the set
         self.calls: list[tuple[str, list[Item]]] = []
@@ -63,7 +64,7 @@
             told = Report(
                 name, name not in self.mute, epoch, committed_number, committed_number, name[1:], hears=heard
             )
-            self.reports[name] = self.now, replace(told, leaving=name in self.leaving)
+            self.reports[name] = ReceivedReport(replace(told, leaving=name in self.leaving), self.now)
         for name in sorted(self.up - set(stay.split())):
             if (items := self.cores[name].step(self.now, self.view(name))) is not None:
                 self.calls.append((name, items))
@@ -72,7 +73,7 @@
             self.asked += 1
             fate = self.fate.get(self.asked, "")
             outcome = outcome_unknown("lost") if fate == "lost" else self.put(name, items)
-            self.cores[name].told(self.now, outcome if fate != "told late" else outcome_unknown("late"))
+            self.cores[name].on_outcome(self.now, outcome if fate != "told late" else outcome_unknown("late"))
 
     def put(self, name: str, items: list[Item]):
         lease, *change = items
@@ -138,7 +139,7 @@
     def test_the_next_waits_until_the_last_votes_and_holds_all(self) -> None:
         field = Field("a1 b2 c3 d1 e2", machines=2)
         grown = lambda f: f.behind.update({"d1": 0})  # noqa: E731 - it is settled, the newcomer not told yet
-        field.run(r.MUTE_S, {1: grown})
+        field.run(r.UNFIT_LIMIT_S, {1: grown})
         self.assertEqual("a1 b2 c3 d1", field.of())
         field.behind.clear()
         self.assertEqual("a1 b2 c3 d1 e2", field.run(2).of())
@@ -158,9 +159,9 @@
         field = Field("a1 b2 c3 d1").down("d1").run(3).down("b2").run(4)
         for _ in range(9):
             field.up.add("d1")
-            field.run(r.JOIN_S - 0.2).down("d1").run(1.5)
+            field.run(r.STANDBY_FIT_S - 0.2).down("d1").run(1.5)
         field.up.add("d1")
-        self.assertEqual([], field.run(r.BACK_S - 0.2).log)
+        self.assertEqual([], field.run(r.RETURNED_FIT_S - 0.2).log)
         self.assertEqual("a1 c3 d1", field.run(1).of())
 
     def test_sizes(self) -> None:
@@ -194,7 +195,9 @@
         began = field.now
         field.run(8)
         self.assertEqual("a1 c3 e2", field.of())
-        self.assertTrue(r.GONE_S < field.log[0][0] - began and field.log[-1][0] - began < 5.0, field.log)
+        self.assertTrue(
+            r.UNHEARD_LIMIT_S < field.log[0][0] - began and field.log[-1][0] - began < 5.0, field.log
+        )
         field.up.add("b2")
         self.assertEqual(("a1 c3 e2", 2), (field.run(60).of(), len(field.log)))
 
@@ -215,7 +218,7 @@
             field.run(0.5)
         for at, _, _ in field.log:
             self.assertTrue(
-                sum(at <= other < at + r.CHANGES_S for other, _, _ in field.log) <= r.CHANGES_MOST
+                sum(at <= other < at + r.CHANGES_WINDOW_S for other, _, _ in field.log) <= r.CHANGES_LIMIT
             )
 
     def test_nothing_is_taken_out_where_none_stands_by(self) -> None:
@@ -249,7 +252,7 @@
     def test_a_lost_disk_that_does_not_enrol_is_replaced(self) -> None:
         field = Field("a1 b2 c3 d1").run(3)
         field.mute = {"b2"}
-        self.assertEqual("a1 b2 c3", field.run(r.MUTE_S - 0.5).of())
+        self.assertEqual("a1 b2 c3", field.run(r.UNFIT_LIMIT_S - 0.5).of())
         self.assertEqual("a1 c3 d1", field.run(3).of())
 
 
@@ -261,17 +264,17 @@
         learner.fold((7, "c"), [(held, (7, "c"))])
         told = {n: Report(n, True, 2, (7, "c"), (7, "c"), n[1:], hears=("a1", "c3", "d1")) for n in HEARD}
         told["d1"] = replace(told["d1"], zone="2")
-        heard = {name: (told[name], 10.0) for name in ("c3", "d1")}
+        heard = {name: ReceivedReport(told[name], 10.0) for name in ("c3", "d1")}
         members, core = MemberSet(2, ("a1", "b2", "c3")), r.Reconfiguration("a1", "a1+1", lambda: 0.0)
         for tick in range(60):
             now = 10.0 + tick * TICK_S
-            heard = {name: (report, now) for name, (report, _) in heard.items()}
+            heard = {name: ReceivedReport(report, now) for name, (report, _) in heard.items()}
             view = r.ClusterView.of(now, told["a1"], members, learner, heard, 0.0, 1, 0)
-            core.tend(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
+            core.act(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
         self.assertEqual(1, len(put))  # one under way at the most
         put[0][1](outcome_unknown("lost"))
-        self.assertIsNone(core.asked)
+        self.assertIsNone(core.submitted)
 
 
 HEARD = ("a1", "c3", "d1")
@@ -282,28 +285,28 @@
         field = Field("a1 b2 c3 d1").run(3)
         field.leaving = {"a1"}
         going = field.cores["a1"]
-        self.assertFalse(going.may_go(field.now, field.view("a1")))
+        self.assertFalse(going.may_leave(field.now, field.view("a1")))
         field.run(1)
         self.assertEqual([("a1", "b2", "c3", "d1"), ("b2", "c3", "d1")], [of for _, _, of in field.log])
-        self.assertTrue(going.may_go(field.now, field.view("a1")))
+        self.assertTrue(going.may_leave(field.now, field.view("a1")))
 
     def test_without_a_standby_it_stays_a_member_and_goes_once_others_hold_all(self) -> None:
         field = Field("a1 b2 c3").run(3)
         field.leaving, field.behind = {"a1"}, {"b2": -1}
         field.tick()
         going = field.cores["a1"]
-        self.assertFalse(going.may_go(field.now, field.view("a1")))  # c3 alone holds what it holds
+        self.assertFalse(going.may_leave(field.now, field.view("a1")))  # c3 alone holds what it holds
         field.behind.clear()
         field.tick()
-        self.assertTrue(going.may_go(field.now, field.view("a1")))
+        self.assertTrue(going.may_leave(field.now, field.view("a1")))
         self.assertEqual("a1 b2 c3", field.down("a1").run(20).of())
 
     def test_it_waits_no_longer_than_its_bound(self) -> None:
         field = Field("a1 b2 c3").run(1).down("b2", "c3").run(1.5)
         going = field.cores["a1"]
-        self.assertFalse(going.may_go(field.now, field.view("a1")))
-        self.assertFalse(going.may_go(field.now + r.LEAVE_S - 0.1, field.view("a1")))
-        self.assertTrue(going.may_go(field.now + r.LEAVE_S, field.view("a1")))
+        self.assertFalse(going.may_leave(field.now, field.view("a1")))
+        self.assertFalse(going.may_leave(field.now + r.LEAVE_TIMEOUT_S - 0.1, field.view("a1")))
+        self.assertTrue(going.may_leave(field.now + r.LEAVE_TIMEOUT_S, field.view("a1")))
 
     def test_leaver_or_newcomer_or_holder_killed_at_each_step(self) -> None:
         for step, who in product(range(3), ("leaver", "newcomer", "holder")):
@@ -364,12 +367,12 @@
             mine = core.step(field.now, view)
             theirs = field.cores[other].step(field.now, field.view(other))
             if mine is not None:
-                core.told(field.now, outcome_unknown("lost"))
+                core.on_outcome(field.now, outcome_unknown("lost"))
             since = field.now - at
             if mine is not None and len(mine) > 1:
-                self.assertTrue(since < r.LEASE_S - r.SPARE_S, since)
+                self.assertTrue(since < r.LEASE_S - r.LEASE_MARGIN_S, since)
             if theirs is not None:
-                self.assertTrue(since >= r.LEASE_S * r.OVER - TICK_S, since)
+                self.assertTrue(since >= r.LEASE_S * r.LEASE_TAKEOVER_FACTOR - TICK_S, since)
                 return
         self.fail("nobody took it over")
 
@@ -380,10 +383,10 @@
 
     def test_failures_are_backed_off_and_capped(self) -> None:
         field = Field("a1 b2 c3 d1 e2", 2, fate={n: "lost" for n in range(1, 1000)}).run(60)
-        self.assertTrue(10 < field.asked < 3 * 60 / (r.PAUSE_MOST_S / 2) + 30, field.asked)
+        self.assertTrue(10 < field.asked < 3 * 60 / (r.BACKOFF_LIMIT_S / 2) + 30, field.asked)
 
     def test_without_contact_or_after_a_sleep_nothing_is_decided(self) -> None:
-        for age in (None, r.CONTACT_S + 0.1):
+        for age in (None, r.CONTACT_STALENESS_LIMIT_S + 0.1):
             field = Field("a1 b2 c3 d1").down("b2").run(2.8)
             core = field.cores["a1"]
             for _ in range(50):
@@ -393,7 +396,7 @@
         for _ in range(40):
             field.tick(stay="a1 c3 d1")
         self.assertIsNone(field.cores["a1"].step(field.now, field.view("a1")))
-        self.assertEqual({"b2": field.now}, field.cores["a1"].missed)  # its two seconds begin anew
+        self.assertEqual({"b2": field.now}, field.cores["a1"].unheard_since)  # its two seconds begin anew
 
     def test_all_orders_of_few_events(self) -> None:
         # Losses, returns, a leaver and a frozen holder, in each order and at two distances. Left out: three
@@ -413,7 +416,7 @@
         }
         for order, pause in product(permutations(events, 3), (0.4, 3.3)):
             late = order[order.index("back") :] if "back" in order else order
-            if pause < r.GONE_S and {"gone", "frozen", "wiped"} <= {*late, *{"wiped"} & {*order}}:
+            if pause < r.UNHEARD_LIMIT_S and {"gone", "frozen", "wiped"} <= {*late, *{"wiped"} & {*order}}:
                 continue
             field = Field("a1 b2 c3 d1 e2 f3 g1 h2 i3", machines=2).run(1.5)
             for name in order:
--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -11,9 +11,11 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import KEPT, REFUSED, SERVICE, Item
-from foxspread.mesh.replication.learner import pack_row, unpack_row
+from foxspread.mesh.replication.learner import NONE, CommittedItem, pack_row, unpack_row
+from foxspread.mesh.replication.messages import Accept, Enroll
 from foxspread.mesh.replication.storage import FILE, Storage, is_older
-from foxspread.mesh.replication.acceptor import Saved, Acceptor
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.stored_state import DeleteRows, PutRows, RecoveredState, SetMeta
 
 MEMBERS = ("a", "b", "c")
 
@@ -32,7 +34,7 @@
         self.later: queue.Queue = queue.Queue()
         return Storage(self.folder, self.later.put)
 
-    def opened(self, first: bool = False) -> Saved:
+    def opened(self, first: bool = False) -> RecoveredState:
         disk = self.disk()
         saved = disk.open(MEMBERS, first)
         disk.db.close()
@@ -43,8 +45,8 @@
         disk, told = self.disk(), []
         saved = disk.open(MEMBERS, True)
         disk.start()
-        for number, writes in enumerate([Acceptor("a", saved).first(), *steps]):
-            disk.put(writes, lambda number=number: told.append(number))
+        for number, writes in enumerate([Acceptor("a", saved).initial_writes(), *steps]):
+            disk.write(writes, lambda number=number: told.append(number))
         while disk.pending:
             self.later.get(timeout=10)()
         self.assertEqual(list(range(len(steps) + 1)), told)
@@ -53,24 +55,23 @@
     def test_what_was_told_as_written_is_there(self) -> None:
         # The whole of what an acceptor writes, read back as an acceptor would be: nothing forgotten by name.
         rows = [pack_row(service("v"), (2, "w"))]
-        acceptor = Acceptor("a", Saved((0, "a"), MEMBERS, voting=True, known=True))
-        asked = {"b": (3, "w"), "e": 0, "s": (2, "w"), "since": (0, ""), "ahead": rows, "disks": {}}
-        accept = acceptor.accept({**asked, "delta": [service("w").packed()]})[0]
-        enrol = acceptor.enrol("b", {"disk": (1, "b")})[0]
-        self.written(accept, enrol)
+        acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_known=True))
+        accept = acceptor.accept(Accept((3, "w"), 0, (2, "w"), (service("w"),), {}, NONE, rows))
+        enrol = acceptor.enroll("b", Enroll((1, "b")))
+        self.written(accept.writes, enrol.writes)
         again = Acceptor("a", self.opened())
-        for name in ("promised", "accepted", "delta", "disks", "voting", "known", "seeds"):
+        for name in ("promised", "accepted", "delta", "disks", "voting", "members_known", "seeds"):
             self.assertEqual(getattr(acceptor, name), getattr(again, name), name)
         self.assertEqual(vars(acceptor.learner), vars(again.learner))
 
     def test_what_was_collected_is_gone(self) -> None:
         rows = [pack_row(service(f"s{number}"), (2, "w")) for number in range(600)]
-        self.written([("items", rows)], [("drop", [[SERVICE, "s7"], [SERVICE, "none"]])])
+        self.written([PutRows(rows)], [DeleteRows([(SERVICE, "s7"), (SERVICE, "none")])])
         self.assertEqual({each[1] for each in rows} - {"s7"}, {each[1] for each in self.opened().rows})
 
     def test_a_disk_holds_the_rows_that_its_copy_holds(self) -> None:
         # Whatever is collected, replaced, or refused anew once it was collected, in the same write or later.
-        acceptor = Acceptor("a", Saved((0, "a"), MEMBERS, voting=True, known=True))
+        acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_known=True))
         committed = [
             [service("v"), Item(SERVICE, "w", 2, None), Item(REFUSED, "r", 1, [409, "x", 3.0])],
             [Item(KEPT, "refused", 1, {"t": 5.0}), Item(REFUSED, "r", 1, [409, "x", 9.0])],
@@ -79,10 +80,12 @@
         ]
         steps, held = [], [{}]
         for number, items in enumerate(committed, 1):
-            steps.append(acceptor.learn((number, "w"), [(item, (number, "w")) for item in items])[0])
+            steps.append(
+                acceptor.learn((number, "w"), [CommittedItem(item, (number, "w")) for item in items])[0]
+            )
             held.append(dict(acceptor.learner.items))
         self.assertEqual(["v", "refused", "r", "dropped"], [name for _, name in held[-1]])
-        steps.append(acceptor.learn((7, "w"), [(service("y"), (6, "w"))], whole=True)[0])
+        steps.append(acceptor.learn((7, "w"), [CommittedItem(service("y"), (6, "w"))], complete_set=True)[0])
         held.append(dict(acceptor.learner.items))
         for number, items in enumerate(held):
             for name in os.listdir(self.folder):
@@ -95,7 +98,7 @@
     def test_starts_are_counted_before_anything_else_is_done(self) -> None:
         # A file put back from before has a start too few, or has forgotten what it told others that it
         # promised; one of an older release begins at the first.
-        self.written([("meta", "promised", (3, "w"))])  # its first start
+        self.written([SetMeta("promised", (3, "w"))])  # its first start
         path, kept = os.path.join(self.folder, FILE), os.path.join(self.folder, "copy")
         shutil.copy(path, kept)
         saved = [self.opened() for _ in range(2)]
@@ -131,25 +134,27 @@
         for harm in (cut_off, overwritten, changed):
             for name in os.listdir(self.folder):
                 os.remove(os.path.join(self.folder, name))
-            self.written([("meta", "promised", (3, "w"))])
+            self.written([SetMeta("promised", (3, "w"))])
             before = self.opened()
             harm(os.path.join(self.folder, FILE))
             after = self.opened(first=True)
-            self.assertEqual((False, False, (0, "")), (after.voting, after.known, after.promised), harm)
+            self.assertEqual(
+                (False, False, (0, "")), (after.voting, after.members_known, after.promised), harm
+            )
             self.assertNotEqual(before.disk, after.disk)
 
     def test_a_disk_that_refuses_to_be_read_is_not_a_damaged_one(self) -> None:
         # Guards against wiping a sound file because another process holds it, or the disk is full or away.
-        self.written([("meta", "promised", (3, "w"))])
+        self.written([SetMeta("promised", (3, "w"))])
         before = self.opened()
         codes = (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_IOERR | 1 << 8, sqlite3.SQLITE_FULL)
         for starts, code in enumerate(codes, before.start_count + 1):
             error = sqlite3.OperationalError("refused")
             error.sqlite_errorcode = code
             disk = self.disk()
-            sound = disk._connected(os.path.join(self.folder, FILE))
+            sound = disk._connect(os.path.join(self.folder, FILE))
             connected = mock.Mock(side_effect=[error, error, sound])
-            with mock.patch.object(disk, "_connected", connected), mock.patch("time.sleep") as slept:
+            with mock.patch.object(disk, "_connect", connected), mock.patch("time.sleep") as slept:
                 self.assertEqual(replace(before, start_count=starts), disk.open(MEMBERS, False))
             self.assertEqual(2, slept.call_count)
             disk.db.close()
@@ -175,9 +180,9 @@
         disk, told = self.disk(), []
         disk.open(MEMBERS, True)
         refusals = iter([False, False, True])
-        with mock.patch.object(disk, "_written", lambda writes: next(refusals)), mock.patch("time.sleep"):
-            disk.put([("meta", "promised", (1, "w"))], lambda: told.append("promise"))
-            disk.put([], lambda: told.append("answer"))
+        with mock.patch.object(disk, "_commit", lambda writes: next(refusals)), mock.patch("time.sleep"):
+            disk.write([SetMeta("promised", (1, "w"))], lambda: told.append("promise"))
+            disk.write([], lambda: told.append("answer"))
             self.assertEqual([], told)
             disk.start()
             while disk.pending:
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -24,7 +24,8 @@
     services_of,
 )
 from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.replication.storage import Storage
 from tests.write_ahead_log import change_byte
 
@@ -72,7 +73,7 @@
     return as_json(saved, name)
 
 
-def as_json(saved: Saved, name: str) -> dict[str, Any]:
+def as_json(saved: RecoveredState, name: str) -> dict[str, Any]:
     """By names that stay, whatever the code calls them."""
     acceptor = Acceptor(name, saved)
     found = {
@@ -86,7 +87,7 @@
         "rows": sorted(saved.rows, key=lambda row: row[:2]),
         "identities_noted": saved.disks,
         "voting": saved.voting,
-        "members_known": saved.known,
+        "members_known": saved.members_known,
         "epoch": acceptor.epoch,
         "members": acceptor.members.of,
     }
--- a/tests/mesh/simulation/test_world.py
+++ b/tests/mesh/simulation/test_world.py
@@ -3,6 +3,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.replication.learner import NONE
+from foxspread.mesh.replication.stored_state import PutRows, SetMeta
 from foxspread.mesh.simulation.disks import SimDisk
 from foxspread.mesh.simulation.world import Links, World
 
@@ -48,11 +49,11 @@
         for seed in range(12):
             world, told = World(seed), []
             disk = SimDisk(world, "a")
-            disk.put([("meta", "disk", (0, "a")), ("meta", "members", ["a"])], lambda: told.append(1))
-            disk.put([("meta", "voting", True), ("meta", "known", True)], lambda: told.append(2))
+            disk.write([SetMeta("disk", (0, "a")), SetMeta("members", ["a"])], lambda: told.append(1))
+            disk.write([SetMeta("voting", True), SetMeta("known", True)], lambda: told.append(2))
             world.run(1)
-            disk.put([("meta", "promised", (3, "w")), ("items", [ROW])], lambda: told.append(3))
-            disk.put([("meta", "promised", (4, "w"))], lambda: told.append(4))
+            disk.write([SetMeta("promised", (3, "w")), PutRows([ROW])], lambda: told.append(3))
+            disk.write([SetMeta("promised", (4, "w"))], lambda: told.append(4))
             disk.power_lost()
             world.run(2)
             saved = disk.open(("a",), False)
@@ -65,7 +66,7 @@
             world, told = World(1), []
             disk = SimDisk(world, "a")
             setattr(disk, trouble, True)
-            disk.put([("meta", "promised", (3, "w"))], lambda: told.append(world.now))
+            disk.write([SetMeta("promised", (3, "w"))], lambda: told.append(world.now))
             world.run(1)
             self.assertEqual(([], {}), (told, disk.meta))
             setattr(disk, trouble, False)
@@ -77,5 +78,5 @@
         first = disk.open(("a",), True)
         disk.wipe()
         second = disk.open(("a",), False)
-        self.assertEqual((True, False), (first.voting, second.voting or second.known))
+        self.assertEqual((True, False), (first.voting, second.voting or second.members_known))
         self.assertGreater(second.disk, first.disk)
--- a/tests/mesh/test_node.py
+++ b/tests/mesh/test_node.py
@@ -17,7 +17,8 @@
 from foxspread.mesh import log
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, SERVICE, Item
 from foxspread.mesh.node import COMMITTED_SET, Node
-from foxspread.mesh.replication.quorum_contact import TELL_S, QuorumContact, Report
+from foxspread.mesh.replication.messages import Report
+from foxspread.mesh.replication.quorum_contact import STALENESS_LIMIT_S, QuorumContact
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.learner import START, Learner, pack_offset, pack_row
 from foxspread.mesh.replication.membership import MemberSet
@@ -148,7 +149,7 @@
             node = self.node(loop, "127.0.0.1", data_dir="x", serves=["control"])
             members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
             node.replica_server = SimpleNamespace(
-                acceptor=SimpleNamespace(known=True), members=members, fresh=True
+                acceptor=SimpleNamespace(members_known=True), members=members, fresh=True
             )
             node.replicas = {"m2": "k2"}
             past = (0, ((1, "d"),))
@@ -169,21 +170,21 @@
 
             self.assertEqual((False, False, 0), told("side"))
             self.assertEqual((True, False, 2), told("k2"))
-            asking = node.quorum_contact.ask(node.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
-            node.quorum_contact.heard(
-                node.now, "m2", QuorumContact.answer(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
+            asking = node.quorum_contact.request(node.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
+            node.quorum_contact.receive(
+                node.now, "m2", QuorumContact.reply(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
             )
             node.now += 1.0
             self.assertEqual((True, True, 1), told("side"))
             news = node._news("side", pull)
             self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
             self.assertEqual([pack_row(rows[0].bare, (4, "l"))], pieces("side")[0]["rows"])
-            node.replica_server.acceptor.known = (
+            node.replica_server.acceptor.members_known = (
                 False  # its disk came back empty: members are known from seeds only
             )
             self.assertEqual((False, False, 0), told("side"))
-            node.replica_server.acceptor.known = True
-            node.now += TELL_S  # it stood still: nothing has told it so yet
+            node.replica_server.acceptor.members_known = True
+            node.now += STALENESS_LIMIT_S  # it stood still: nothing has told it so yet
             self.assertEqual((False, False, 0), told("side"))
             self.assertEqual((True, False, 2), told("k2"))
 
@@ -205,9 +206,8 @@
                 asked = node.snapshot_transfer.step(at)
                 node.now = 1000.0
                 for name, message in asked:
-                    node._heard(
-                        SimpleNamespace(peer=name), SnapshotTransfer.answer(there, message, age, False)
-                    )
+                    reply = SnapshotTransfer.reply(there, message, age, False)
+                    node._heard(SimpleNamespace(peer=name), reply.packed())
                 return [name for name, _ in asked]
 
             for at, age, ready in ((1000.0, None, False), (1000.0, 9.0, False), (980.0, 0.1, False),
@@ -224,7 +224,7 @@
                 self.assertEqual(ready, node._ready(), (at, age))
             replica_server, learnt = self.node(asyncio.get_running_loop(), "127.0.0.8"), []
             replica_server.replica_server = SimpleNamespace(
-                learn=lambda *told: learnt.append(told), peer_committed=lambda at: None, acceptor=True
+                learn=lambda *told: learnt.append(told), on_peer_committed=lambda at: None, acceptor=True
             )
             replica_server.replicas = {"m2": "k2"}
             self.assertEqual([], takes(replica_server, "side", 1000.0, 0.1))
--- a/tests/mesh/transport/test_peer_connection.py
+++ b/tests/mesh/transport/test_peer_connection.py
@@ -6,7 +6,7 @@
 from foxspread.mesh.transport.peer_connection import WRITE_BUFFER_LIMIT_BYTES, PeerConnection
 from foxspread.mesh.transport.netstrings import MOST, Decoder
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
-from foxspread.mesh.replication.learner import PIECE_BYTES, Learner
+from foxspread.mesh.replication.learner import CHUNK_LIMIT_BYTES, Learner
 
 
 class Stuck:
@@ -57,14 +57,14 @@
         items = [Item(SERVICE, f"s{number}", 1, {"tag": "x" * 300}) for number in range(3000)]
         learner.fold((1, "w"), [(item, (1, "w")) for item in items])
         taker = SnapshotTransfer(Learner(), lambda: 0.0)
-        taker.told("k", learner.committed_number)
+        taker.on_peer_committed("k", learner.committed_number)
         pieces = 0
         while asked := taker.step(0.0):
             self.transport.held = b""
-            told = SnapshotTransfer.answer(learner, asked[0][1], 0.0, True)
-            self.connection.send(told)
-            self.assertLess(len(self.transport.held), PIECE_BYTES + 1000)
+            reply = SnapshotTransfer.reply(learner, asked[0].message, 0.0, True)
+            self.connection.send(reply.packed())
+            self.assertLess(len(self.transport.held), CHUNK_LIMIT_BYTES + 1000)
             pieces += 1
-            if taker.heard(0.0, "k", told) is not None:
+            if taker.receive(0.0, "k", reply) is not None:
                 break
         self.assertGreater(pieces, 10)
