--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -310,7 +310,7 @@
         if (
             self.replica_server is None
             or self.replica_server.acceptor is None
-            or not self.replica_server.acceptor.members_known
+            or not self.replica_server.acceptor.members_confirmed
         ):
             return False  # an empty disk: who the members are is known from seeds only
         self.quorum_contact.update(self.replica_server.members, self.learner.committed_number)
--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -102,7 +102,7 @@
         self.learner.fold(saved.committed, map(unpack_row, saved.rows))
         self.delta: dict[Key, Item] = {item.key: item for item in map(unpack_item, saved.delta)}
         self.disks, self.voting = dict(saved.disks), saved.voting
-        self.members_known = saved.members_known
+        self.members_confirmed = saved.members_confirmed
         self.enrolment_replies: dict[str, Enrolled] = {}
         self.start_count = saved.start_count
         # Once enough have replied: it votes as soon as its committed set has reached this.
@@ -123,7 +123,7 @@
     @property
     def serves(self) -> bool:
         """Whether it may speak for the state: it knows all that it ever promised."""
-        return self.members_known and self.voting
+        return self.members_confirmed and self.voting
 
     @property
     def disk_identities(self) -> dict[str, DiskIdentity]:
@@ -141,7 +141,7 @@
             SetMeta(stored_state.DISK, self.disk),
             SetMeta(stored_state.MEMBERS, list(self.seeds.of)),
             SetMeta(stored_state.VOTING, self.voting),
-            SetMeta(stored_state.MEMBERS_KNOWN, self.members_known),
+            SetMeta(stored_state.MEMBERS_CONFIRMED, self.members_confirmed),
         ]
 
     # Requests of proposers.
@@ -288,7 +288,7 @@
     def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
         """A reply to `Enroll`; None until enough have come. Then what the lost disk may have promised and
         accepted is known again; it votes once its committed set has reached the newest of the replies."""
-        if self.members_known or self.enrolment_target is not None or message.disk < self.disk:
+        if self.members_confirmed or self.enrolment_target is not None or message.disk < self.disk:
             return None
         if message.disk > self.disk:  # of an earlier disk of this machine: this one has to stand above it
             self.disk, self.enrolment_replies = (message.disk[0] + 1, self.disk[1]), {}
@@ -324,7 +324,7 @@
     def _finish_enrolment(self) -> list[Write]:
         if self.enrolment_target is None or self.learner.committed_number < self.enrolment_target:
             return []
-        self.enrolment_target, self.voting, self.members_known = None, True, True
+        self.enrolment_target, self.voting, self.members_confirmed = None, True, True
         self.enrolment_replies = {}
         return self.initial_writes()
 
@@ -337,7 +337,7 @@
         the committed set that it holds. `nonce`: the random part of its new identity."""
         self.disk = (self.disk[0] + 1, nonce)
         self.enrolment_replies, self.enrolment_target = {}, None
-        self.voting = self.members_known = False
+        self.voting = self.members_confirmed = False
         return self.initial_writes()
 
     def enrolment_member_sets(self) -> list[MemberSet]:
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -155,7 +155,7 @@
         gone = [old for key, old in old_items.items() if key not in fresh.items]
         self.__dict__.update(vars(fresh))
         self.collected = [*fresh.collected, *(old.key for old in gone)]
-        return _as_dropped(gone) + [item for item in new if _is_news(old_items.get(item.key), item)]
+        return _as_dropped(gone) + [item for item in new if _is_new_version(old_items.get(item.key), item)]
 
     def changed_since(self, proposal_number: ProposalNumber) -> list[CommittedItem]:
         """What changed after that proposal, the oldest change first."""
@@ -246,7 +246,7 @@
     return old.version == new.version and old.content != new.content and old.kind != REFUSED
 
 
-def _is_news(old: Item | None, new: Item) -> bool:
+def _is_new_version(old: Item | None, new: Item) -> bool:
     return old is None or old.version != new.version
 
 
--- a/foxspread/mesh/replication/paxos_messages.py
+++ b/foxspread/mesh/replication/paxos_messages.py
@@ -49,6 +49,7 @@
     committed_number: ProposalNumber  # of the proposer's committed set
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             PROPOSAL_NUMBER: self.proposal_number,
@@ -58,6 +59,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Prepare":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(
             unpack_proposal_number(fields[PROPOSAL_NUMBER]),
             fields[EPOCH],
@@ -78,6 +80,7 @@
     missing_rows: list[Row] | None  # what the proposer lacks; None: too much for a message
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             PROPOSAL_NUMBER: self.proposal_number,
@@ -90,6 +93,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Promise":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(
             unpack_proposal_number(fields[PROPOSAL_NUMBER]),
             unpack_proposal_number(fields[ACCEPTED_NUMBER]),
@@ -114,6 +118,7 @@
     missing_rows: list[Row] | None = None
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             PROPOSAL_NUMBER: self.proposal_number,
@@ -127,6 +132,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Accept":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         rows = fields.get(MISSING_ROWS)
         return cls(
             unpack_proposal_number(fields[PROPOSAL_NUMBER]),
@@ -148,10 +154,12 @@
     disks: dict[str, DiskIdentity]
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {KIND: self.kind, PROPOSAL_NUMBER: self.proposal_number, DISKS: self.disks}
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Accepted":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(unpack_proposal_number(fields[PROPOSAL_NUMBER]), unpack_disks(fields[DISKS]))
 
 
@@ -164,10 +172,12 @@
     promised: ProposalNumber
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {KIND: self.kind, PROPOSAL_NUMBER: self.proposal_number, PROMISED: self.promised}
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Nack":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         promised = fields[PROMISED]
         return cls(unpack_proposal_number(fields[PROPOSAL_NUMBER]), unpack_proposal_number(promised))
 
@@ -182,6 +192,7 @@
     missing_rows: list[Row] | None
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             PROPOSAL_NUMBER: self.proposal_number,
@@ -191,6 +202,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "StaleEpoch":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(
             unpack_proposal_number(fields[PROPOSAL_NUMBER]),
             unpack_proposal_number(fields[COMMITTED_NUMBER]),
@@ -207,6 +219,7 @@
     committed_number: ProposalNumber
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             PROPOSAL_NUMBER: self.proposal_number,
@@ -215,6 +228,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Behind":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         committed_number = unpack_proposal_number(fields[COMMITTED_NUMBER])
         return cls(unpack_proposal_number(fields[PROPOSAL_NUMBER]), committed_number)
 
@@ -227,10 +241,12 @@
     disk: DiskIdentity
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {KIND: self.kind, DISK: self.disk}
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Enroll":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(unpack_proposal_number(fields[DISK]))
 
 
@@ -250,6 +266,7 @@
     members: tuple[str, ...]
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             DISK: self.disk,
@@ -265,6 +282,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Enrolled":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(
             unpack_proposal_number(fields[DISK]),
             unpack_proposal_number(fields[PROMISED]),
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -120,7 +120,7 @@
             self.clock_seen = clock, now
         self._expire_calls(now, out)
         if self.proposal_number is not None and now >= self.phase_deadline:
-            self._back_off(now, 0.0)
+            self._start_backoff(now, 0.0)
         if self.proposal_number is None and now >= self.next_attempt_at and self._has_work:
             self._start_attempt(now, out)
         return out
@@ -160,11 +160,11 @@
     # Replies, by their type.
 
     def _on_nack(self, now: float, sender: str, message: Nack, out: ProposerOutput) -> None:
-        self._back_off(now, self.draw())
+        self._start_backoff(now, self.draw())
 
     def _on_stale_epoch(self, now: float, sender: str, message: StaleEpoch, out: ProposerOutput) -> None:
         self._learn(message.committed_number, message.missing_rows, out)
-        self._back_off(now, self.draw())
+        self._start_backoff(now, self.draw())
 
     def _on_promise(self, now: float, sender: str, message: Promise, out: ProposerOutput) -> None:
         if self.proposed_delta is None:
@@ -242,7 +242,7 @@
         acceptor, promises = self.acceptor, current_replies(self.promises)
         newest = max(promises.values(), key=lambda promise: promise.committed_number, default=None)
         if newest is not None and not self._learn(newest.committed_number, newest.missing_rows, out):
-            return self._back_off(now, 1.0)  # until a snapshot has brought what is missing
+            return self._start_backoff(now, 1.0)  # until a snapshot has brought what is missing
         sets = [acceptor.members]
         last = max(promises.values(), key=lambda promise: promise.accepted, default=None)
         if last is not None and last.accepted > acceptor.learner.committed_number:
@@ -253,7 +253,7 @@
             self.promises = promises
             self._propose(now, out)
 
-    def _back_off(self, now: float, draw: float) -> None:
+    def _start_backoff(self, now: float, draw: float) -> None:
         """Ends the attempt; the next one begins after `draw` times the backoff."""
         self.proposal_number = None
         self.lost_attempts = min(self.lost_attempts + 1, BACKOFF_DOUBLINGS_LIMIT)
--- a/foxspread/mesh/replication/reconfiguration.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -240,8 +240,8 @@
         """Whether that replica has reported all that was committed here when it was asked: while changes go
         on, its report is always older than the newest of them."""
         report, received_at = view.reports[name]
-        asked_at = received_at - REPORT_LAG_S
-        before = [each.committed_number for each in self.committed_history if each.at <= asked_at]
+        requested_at = received_at - REPORT_LAG_S
+        before = [each.committed_number for each in self.committed_history if each.at <= requested_at]
         return report.committed >= (before[-1] if before else self.committed_history[0].committed_number)
 
     def _may_decide(self, now: float, view: ClusterView) -> bool:
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -81,7 +81,7 @@
         """Its storage is open, and holds this."""
         self.acceptor = acceptor
         self.proposer = self.proposer_class(acceptor, self.incarnation, self.draw)
-        self.caught_up, self.durable_promise = acceptor.members_known, acceptor.promised
+        self.caught_up, self.durable_promise = acceptor.members_confirmed, acceptor.promised
         self.write(acceptor.initial_writes(), _do_nothing)
         self.on_committed(list(acceptor.learner.items.values()))
 
@@ -93,7 +93,7 @@
         self.call_count += 1
         self.pending_calls[self.call_count] = on_outcome
         now = self.clock()
-        self._carry_out(self.proposer.submit(now, self.call_count, items, now + timeout_s))
+        self._execute(self.proposer.submit(now, self.call_count, items, now + timeout_s))
 
     def receive(self, sender: str, fields: Fields) -> None:
         """A message as it came from another replica; `sender`: its name among the members. A kind that is
@@ -121,11 +121,11 @@
     def _on_enrolled(self, sender: str, message: Enrolled) -> None:
         if (learned := self.acceptor.take_enrolled(sender, message)) is not None:
             self._take_learned(learned)
-            if not self.acceptor.members_known:
+            if not self.acceptor.members_confirmed:
                 self.next_enrolment_at = 0.0  # under another identity, or a snapshot brings what it lacks
 
     def _on_reply(self, sender: str, message: ProposerReply) -> None:
-        self._carry_out(self.proposer.receive(self.clock(), sender, message))
+        self._execute(self.proposer.receive(self.clock(), sender, message))
 
     _HANDLERS: ClassVar[dict[type, Callable[..., None]]] = {
         Prepare: _on_prepare,
@@ -145,7 +145,7 @@
     def on_rolled_back(self, nonce: str) -> None:
         """Others have met a later state of this machine's disk: it enrols anew. `nonce`: the random part of
         its new identity."""
-        if self.acceptor is not None and self.acceptor.members_known:
+        if self.acceptor is not None and self.acceptor.members_confirmed:
             log_event("disk_older", disk=self.acceptor.disk, boots=self.acceptor.start_count)
             self.write(self.acceptor.reset_identity(nonce), _do_nothing)
             self.caught_up, self.fresh, self.next_enrolment_at = False, False, 0.0
@@ -160,8 +160,8 @@
 
     def on_connected(self, member: str) -> None:
         """A connection to that member has come up."""
-        if self.acceptor is not None and self.acceptor.members_known:
-            self._carry_out(self.proposer.on_connected(member))
+        if self.acceptor is not None and self.acceptor.members_confirmed:
+            self._execute(self.proposer.on_connected(member))
         else:
             self.next_enrolment_at = 0.0
         self.tick()
@@ -171,8 +171,8 @@
         if self.acceptor is None:
             return
         now = self.clock()
-        self._carry_out(self.proposer.tick(now))
-        if not self.acceptor.members_known:
+        self._execute(self.proposer.tick(now))
+        if not self.acceptor.members_confirmed:
             return self._request_enrolment(now)
         if not self.fresh and not self.read_pending:
             self.read_pending = True
@@ -202,7 +202,7 @@
             self.takeover = acceptor.accepted, now + wait_s
         elif now >= self.takeover[1]:
             self.takeover = None
-            self._carry_out(self.proposer.request_attempt(now))
+            self._execute(self.proposer.request_attempt(now))
 
     def _on_read(self, outcome: bool | Failure) -> None:
         self.read_pending = False
@@ -215,7 +215,7 @@
     def _take_learned(self, learned: Learned) -> None:
         self.write(learned.writes, _do_nothing)
         acceptor = self.acceptor
-        if acceptor.members_known and not self.caught_up:
+        if acceptor.members_confirmed and not self.caught_up:
             self.caught_up = True
             log_event(
                 "caught_up", members=len(acceptor.members.of), upto=acceptor.learner.committed_number[0]
@@ -241,7 +241,7 @@
         else:
             self.send(to, message.packed())
 
-    def _carry_out(self, out: ProposerOutput) -> None:
+    def _execute(self, out: ProposerOutput) -> None:
         if out.writes:
             self.write(out.writes, _do_nothing)
         for to, message in out.sends:
--- a/foxspread/mesh/replication/storage.py
+++ b/foxspread/mesh/replication/storage.py
@@ -138,7 +138,7 @@
             self.db = self._connect(path)
             first = False
         identity = (0 if first else 1, uuid.uuid4().hex[:16])
-        return self._count_start(RecoveredState(identity, members, voting=first, members_known=first))
+        return self._count_start(RecoveredState(identity, members, voting=first, members_confirmed=first))
 
     def _remove_files(self) -> None:
         for name in (FILE, FILE + "-wal", FILE + "-journal"):
--- a/foxspread/mesh/replication/stored_state.py
+++ b/foxspread/mesh/replication/stored_state.py
@@ -17,7 +17,7 @@
 DISK = "disk"
 MEMBERS = "members"
 VOTING = "voting"
-MEMBERS_KNOWN = "known"
+MEMBERS_CONFIRMED = "known"
 PROMISED = "promised"
 ACCEPTED = "accepted"
 COMMITTED = "settled"
@@ -63,7 +63,7 @@
     delta: list = field(default_factory=list)  # packed items that were accepted at `accepted`
     disks: dict[str, DiskIdentity] = field(default_factory=dict)  # of other members
     voting: bool = False
-    members_known: bool = False  # False: `members` are only configured seeds, which may be out of date
+    members_confirmed: bool = False  # False: `members` are only configured seeds, which may be out of date
     start_count: int = 0  # opens of this storage, this one included; 0: written by an older release only
 
     @classmethod
@@ -80,6 +80,6 @@
             delta,
             {member: unpack_proposal_number(disk) for member, disk in meta.get(DISKS, {}).items()},
             meta[VOTING],
-            meta[MEMBERS_KNOWN],
+            meta[MEMBERS_CONFIRMED],
             meta.get(START_COUNT, 0),
         )
--- a/foxspread/mesh/replication/sync_messages.py
+++ b/foxspread/mesh/replication/sync_messages.py
@@ -61,6 +61,7 @@
     disk: DiskState | None = None  # None only in the simulation, where no file is put back
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         fields = {KIND: self.kind, REQUEST_NUMBER: self.number}
         if (disk := self.disk) is not None:
             fields[INCARNATION], fields[DISK] = disk.incarnation, disk.identity
@@ -69,6 +70,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "ContactRequest":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         if INCARNATION not in fields:
             return cls(fields[REQUEST_NUMBER])
         identity, promised = unpack_proposal_number(fields[DISK]), unpack_proposal_number(fields[PROMISED])
@@ -91,6 +93,7 @@
     disk: DiskIdentity = (0, "")
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             MEMBER: self.member,
             VOTES: self.votes,
@@ -105,6 +108,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "Report":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(
             str(fields[MEMBER]),
             bool(fields[VOTES]),
@@ -128,6 +132,7 @@
     rolled_back_incarnation: str | None = None  # the asker, where its disk is an older copy of itself
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         fields = {KIND: self.kind, REQUEST_NUMBER: self.number, **self.report.packed()}
         if self.rolled_back_incarnation is not None:
             fields[ROLLED_BACK] = self.rolled_back_incarnation
@@ -135,6 +140,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "ContactReply":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(fields[REQUEST_NUMBER], Report.unpacked(fields), fields.get(ROLLED_BACK))
 
 
@@ -148,6 +154,7 @@
     since: ProposalNumber | None = None  # the oldest source of what is staged, where `after` does not say it
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         fields = {KIND: self.kind, REQUEST_NUMBER: self.number, AFTER: pack_offset(self.after)}
         if self.since is not None:
             fields[MISSING_SINCE] = self.since
@@ -155,6 +162,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "SnapshotChunkRequest":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         since = fields.get(MISSING_SINCE)
         return cls(
             fields[REQUEST_NUMBER],
@@ -174,9 +182,11 @@
 
     @property
     def committed_number(self) -> ProposalNumber:
+        """Of the sender."""
         return self.chunk.committed_number
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         chunk = self.chunk
         fields = {
             KIND: self.kind,
@@ -193,6 +203,7 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "SnapshotRows":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         chunk = SnapshotChunk(
             fields[ROWS],
             unpack_proposal_number(fields[CHUNK_COMMITTED_NUMBER]),
@@ -212,6 +223,7 @@
     committed_number: ProposalNumber
 
     def packed(self) -> Fields:
+        """As it goes on the wire."""
         return {
             KIND: self.kind,
             REQUEST_NUMBER: self.number,
@@ -221,4 +233,5 @@
 
     @classmethod
     def unpacked(cls, fields: Fields) -> "SnapshotRestart":
+        """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(fields[REQUEST_NUMBER], unpack_proposal_number(fields[CHUNK_COMMITTED_NUMBER]))
--- a/foxspread/mesh/simulation/disks.py
+++ b/foxspread/mesh/simulation/disks.py
@@ -36,7 +36,7 @@
         if "disk" not in self.meta:
             identity = (0 if first else 1, f"{self.name}.{self.wipes}.{self.turn}")
             self.meta[START_COUNT] = b"1"
-            return RecoveredState(identity, members, voting=first, members_known=first, start_count=1)
+            return RecoveredState(identity, members, voting=first, members_confirmed=first, start_count=1)
         self.meta[START_COUNT] = b"%d" % (orjson.loads(self.meta.get(START_COUNT, b"0")) + 1)
         meta = {name: orjson.loads(body) for name, body in self.meta.items()}
         return RecoveredState.from_stored(meta, [orjson.loads(body) for body in self.items.values()])
--- a/foxspread/mesh/simulation/explore.py
+++ b/foxspread/mesh/simulation/explore.py
@@ -84,7 +84,7 @@
         for name in sorted({*case.members, *case.standbys, *(name for name, _ in case.calls)}):
             table.lives[name], table.starts[name] = 0, dict(case.starts_of).get(name, case.starts)
             voting = name in case.members or name in case.standbys
-            saved = RecoveredState((0, name), case.members, voting=voting, members_known=True)
+            saved = RecoveredState((0, name), case.members, voting=voting, members_confirmed=True)
             table._begin(name, saved)
         for name, item in case.calls:
             proposer = table.proposers[name]
@@ -222,7 +222,7 @@
             case Enrolled():
                 if (learned := acceptor.take_enrolled(sender, message)) is not None:
                     self._take_learned(to, learned)
-                    if not acceptor.members_known:
+                    if not acceptor.members_confirmed:
                         self.enrol(to)
             case _:
                 self._do(to, self.proposers[to].receive(0.0, sender, message))
@@ -327,7 +327,7 @@
                 first_phase = receiver.proposed_delta is None
                 return isinstance(message, Promise) and (not first_phase or sender in receiver.promises)
             case Enrolled():
-                return self.acceptors[to].members_known
+                return self.acceptors[to].members_confirmed
             case Prepare() | Accept() if self.case.prompt:
                 number = message.proposal_number
                 if isinstance(message, Prepare) and self.proposers[sender].proposal_number != number:
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -35,7 +35,7 @@
 
     def __init__(self, me: str, saved: RecoveredState) -> None:
         super().__init__(me, saved)
-        self.voting = self.members_known = True
+        self.voting = self.members_confirmed = True
 
 
 class EnrolledByOne(Acceptor):
@@ -286,7 +286,7 @@
     def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
         learned = super().take_enrolled(sender, message)
         if self.enrolment_target is not None:
-            self.enrolment_target, self.voting, self.members_known = None, True, True
+            self.enrolment_target, self.voting, self.members_confirmed = None, True, True
         return learned
 
 
--- a/tests/mesh/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -17,7 +17,9 @@
 class Accepting(TestCase):
     def test_what_an_accept_brings_along_is_shown(self) -> None:
         # Guards the way of items to a machine that was cut off: its copy had them, its routes never did.
-        acceptor = Acceptor("a", RecoveredState((0, "a0"), ("a", "b", "c"), voting=True, members_known=True))
+        acceptor = Acceptor(
+            "a", RecoveredState((0, "a0"), ("a", "b", "c"), voting=True, members_confirmed=True)
+        )
         missing = [pack_row(service("v"), (1, "b"))]
         response = acceptor.accept(Accept((2, "b"), 0, (1, "b"), (service("w"),), {}, NONE, missing))
         self.assertIsInstance(response.reply, Accepted)
@@ -26,7 +28,7 @@
     def test_a_copy_from_before_enrols_like_an_empty_disk(self) -> None:
         # Guards: an older file put back votes with what it has forgotten.
         old, *others = (
-            Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_known=True))
+            Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_confirmed=True))
             for me in "abc"
         )
         for each in others:
@@ -44,7 +46,7 @@
     def test_an_empty_disk_takes_the_members_from_those_that_know_them(self) -> None:
         # Guards: seeds that were exchanged while its disk was lost; it proposed under a set that never was.
         others = [
-            Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_known=True))
+            Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_confirmed=True))
             for me in "bc"
         ]
         empty = Acceptor("a", RecoveredState((1, "x"), ("a", "e", "f")))
@@ -56,7 +58,7 @@
 
 class Bounds(TestCase):
     def holding(self, me: str, count: int) -> Acceptor:
-        acceptor = Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_known=True))
+        acceptor = Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_confirmed=True))
         acceptor.learn((count, "w"), [CommittedItem(service(f"v{n}"), (n + 1, "w")) for n in range(count)])
         return acceptor
 
@@ -87,7 +89,9 @@
 
     def test_identities_are_noted_of_so_many_members_first(self) -> None:
         # Guards: one more identity for each machine that ever asked, kept for good.
-        acceptor = Acceptor("a", RecoveredState((0, "a"), ("a", "b", "c"), voting=True, members_known=True))
+        acceptor = Acceptor(
+            "a", RecoveredState((0, "a"), ("a", "b", "c"), voting=True, members_confirmed=True)
+        )
         for name in ("b", "c", *(f"m{n}" for n in range(2 * DISK_IDENTITIES_LIMIT))):
             acceptor.enroll(name, Enroll((1, name)))
         self.assertEqual(DISK_IDENTITIES_LIMIT, len(acceptor.disks))
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -161,7 +161,7 @@
     def test_a_new_identity_rises_above_all_that_were_noted(self) -> None:
         # Chance alone says nothing of which of two disks is the newer one.
         acceptors = {
-            name: Acceptor(name, RecoveredState((0, name), FIVE, voting=True, members_known=True))
+            name: Acceptor(name, RecoveredState((0, name), FIVE, voting=True, members_confirmed=True))
             for name in "abc"
         }
         for each in acceptors.values():
--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -55,12 +55,12 @@
     def test_what_was_told_as_written_is_there(self) -> None:
         # The whole of what an acceptor writes, read back as an acceptor would be: nothing forgotten by name.
         rows = [pack_row(service("v"), (2, "w"))]
-        acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_known=True))
+        acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_confirmed=True))
         accept = acceptor.accept(Accept((3, "w"), 0, (2, "w"), (service("w"),), {}, NONE, rows))
         enrol = acceptor.enroll("b", Enroll((1, "b")))
         self.written(accept.writes, enrol.writes)
         again = Acceptor("a", self.opened())
-        for name in ("promised", "accepted", "delta", "disks", "voting", "members_known", "seeds"):
+        for name in ("promised", "accepted", "delta", "disks", "voting", "members_confirmed", "seeds"):
             self.assertEqual(getattr(acceptor, name), getattr(again, name), name)
         self.assertEqual(vars(acceptor.learner), vars(again.learner))
 
@@ -71,7 +71,7 @@
 
     def test_a_disk_holds_the_rows_that_its_copy_holds(self) -> None:
         # Whatever is collected, replaced, or refused anew once it was collected, in the same write or later.
-        acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_known=True))
+        acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_confirmed=True))
         committed = [
             [service("v"), Item(SERVICE, "w", 2, None), Item(REFUSED, "r", 1, [409, "x", 3.0])],
             [Item(KEPT, "refused", 1, {"t": 5.0}), Item(REFUSED, "r", 1, [409, "x", 9.0])],
@@ -139,7 +139,7 @@
             harm(os.path.join(self.folder, FILE))
             after = self.opened(first=True)
             self.assertEqual(
-                (False, False, (0, "")), (after.voting, after.members_known, after.promised), harm
+                (False, False, (0, "")), (after.voting, after.members_confirmed, after.promised), harm
             )
             self.assertNotEqual(before.disk, after.disk)
 
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -87,7 +87,7 @@
         "rows": sorted(saved.rows, key=lambda row: row[:2]),
         "identities_noted": saved.disks,
         "voting": saved.voting,
-        "members_known": saved.members_known,
+        "members_known": saved.members_confirmed,
         "epoch": acceptor.epoch,
         "members": acceptor.members.of,
     }
--- a/tests/mesh/simulation/test_world.py
+++ b/tests/mesh/simulation/test_world.py
@@ -78,5 +78,5 @@
         first = disk.open(("a",), True)
         disk.wipe()
         second = disk.open(("a",), False)
-        self.assertEqual((True, False), (first.voting, second.voting or second.members_known))
+        self.assertEqual((True, False), (first.voting, second.voting or second.members_confirmed))
         self.assertGreater(second.disk, first.disk)
--- a/tests/mesh/test_node.py
+++ b/tests/mesh/test_node.py
@@ -149,7 +149,7 @@
             node = self.node(loop, "127.0.0.1", data_dir="x", serves=["control"])
             members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
             node.replica_server = SimpleNamespace(
-                acceptor=SimpleNamespace(members_known=True), members=members, fresh=True
+                acceptor=SimpleNamespace(members_confirmed=True), members=members, fresh=True
             )
             node.replicas = {"m2": "k2"}
             past = (0, ((1, "d"),))
@@ -179,11 +179,11 @@
             news = node._news("side", pull)
             self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
             self.assertEqual([pack_row(rows[0].bare, (4, "l"))], pieces("side")[0]["rows"])
-            node.replica_server.acceptor.members_known = (
+            node.replica_server.acceptor.members_confirmed = (
                 False  # its disk came back empty: members are known from seeds only
             )
             self.assertEqual((False, False, 0), told("side"))
-            node.replica_server.acceptor.members_known = True
+            node.replica_server.acceptor.members_confirmed = True
             node.now += STALENESS_LIMIT_S  # it stood still: nothing has told it so yet
             self.assertEqual((False, False, 0), told("side"))
             self.assertEqual((True, False, 2), told("k2"))
