--- /dev/null
+++ b/foxspread/mesh/committed_configuration.py
@@ -0,0 +1,55 @@
+"""Applies committed items to the parts of a process that they govern: routes, members, limits.
+
+A view of the event log: it is handed each item that is new, in order. Without I/O.
+"""
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any
+
+from foxspread.mesh.configuration.items import LIMITS, MEMBERS, Item
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.dataplane.caller import CallerDesk
+from foxspread.mesh.gossip.connection_manager import ConnectionManager
+from foxspread.mesh.settings import parse_address
+
+BODY_SHARE = 1 / 8  # of the process's memory: bodies are held whole, and none may fill the machine
+
+
+class CommittedConfiguration:
+    """`peer_port`: where replicas listen to other processes; `memory_mb` returns the limit in force."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        routes: RouteTable,
+        connection_manager: ConnectionManager,
+        caller: CallerDesk,
+        peer_port: int,
+        memory_mb: Callable[[], float],
+    ) -> None:
+        self.clock, self.routes, self.connection_manager = clock, routes, connection_manager
+        self.caller, self.peer_port, self.memory_mb = caller, peer_port, memory_mb
+
+    def apply(self, items: Iterable[Item]) -> None:
+        """Items that have been committed."""
+        for item in items:
+            self.routes.put(item)
+            if item.kind == MEMBERS and item.content is not None:
+                self.set_members(item.content["of"])
+            if item.kind == LIMITS and item.content is not None:
+                self._set_limits(item.content)
+        routes = self.routes.places
+        self.caller.steering.forget(lambda name: ("route", name) in routes)
+
+    def set_members(self, members: Iterable[str]) -> None:
+        """Their control addresses: connections to them are preferred."""
+        addresses = [(parse_address(each)[0], self.peer_port) for each in members]
+        self.connection_manager.set_members(self.clock(), addresses)
+
+    def _set_limits(self, content: Mapping[str, Any]) -> None:
+        limits = self.caller.limits
+        limits.head = int(content.get("envelope_bytes", limits.head))
+        largest_body = int(self.memory_mb() * 1024 * 1024 * BODY_SHARE)
+        limits.body = min(largest_body, int(content.get("contents_bytes", limits.body)))
+        limits.head_s = float(content.get("envelope_s", limits.head_s))
+        limits.idle_s = float(content.get("idle_s", limits.idle_s))
--- /dev/null
+++ b/foxspread/mesh/endpoints.py
@@ -0,0 +1,100 @@
+"""The HTTP endpoints of one process and what stands behind them: control API, readiness, requests both ways.
+
+Builds them from the settings, opens and closes their listeners, and says whether requests are in progress.
+"""
+
+import asyncio
+from collections.abc import Callable
+
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.control_api.handlers import ControlApi, ReadinessApi
+from foxspread.mesh.dataplane.caller import CallerDesk
+from foxspread.mesh.dataplane.errand import Steering
+from foxspread.mesh.dataplane.hop import Hop, HopDesk
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.dataplane.lasthop import LastHop
+from foxspread.mesh.dataplane.memory import share
+from foxspread.mesh.dataplane.serving import Desk, Serving
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.registry.incarnations import InstanceTable
+from foxspread.mesh.settings import Address, Settings
+from foxspread.sums import Chance
+
+APP_ANSWER_TIMEOUT_S, PEER_ANSWER_TIMEOUT_S = 6.0, 60.0
+BACKLOG = 1024  # connections that wait to be accepted
+
+
+class Endpoints:
+    """`has_items` says whether the committed set is known, `sidecars` how many sidecars there are."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Callable[[], float],
+        chance: Chance,
+        instances: InstanceTable,
+        routes: RouteTable,
+        upstreams: Upstreams,
+        has_items: Callable[[], bool],
+        sidecars: Callable[[], int],
+    ) -> None:
+        self.clock = clock
+        bodies = share(settings.memory_mb)
+        self.app_lanes = Lanes(clock, APP_ANSWER_TIMEOUT_S, share=bodies)
+        self.lanes = Lanes(clock, PEER_ANSWER_TIMEOUT_S, share=bodies, numbered=True)
+        last_hop = LastHop(instances, settings.app, settings.bounds["drain_s"])
+        self.hop = Hop(clock, last_hop, self.app_lanes)
+        self.caller = CallerDesk(
+            clock,
+            settings.node,
+            settings.service.encode(),
+            Steering(settings.zone, upstreams, settings.bounds, chance, sidecars),
+            routes,
+            has_items,
+            self.lanes,
+            self.hop,
+        )
+        self.desks: dict[str, Desk] = {}
+        self.servers: list[asyncio.Server] = []  # those of the node's other listeners too
+
+    async def listen(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        addresses: dict[str, Address],
+        control: ControlApi,
+        readiness: ReadinessApi,
+    ) -> None:
+        """Opens a listener at each address whose name is that of an endpoint."""
+        self.desks = {
+            "control": control,
+            "ready": readiness,
+            "inbound": HopDesk(self.clock, self.hop),
+            "outbound": self.caller,
+        }
+        for name, address in addresses.items():
+            if (desk := self.desks.get(name)) is not None:
+                server = await loop.create_server(lambda desk=desk: Serving(desk), *address, backlog=BACKLOG)
+                self.servers.append(server)
+
+    def sweep(self, now: float) -> None:
+        """Ends idle connections and overdue requests."""
+        for desk in self.desks.values():
+            desk.sweep(now)
+        self.lanes.sweep()
+        self.app_lanes.sweep()
+
+    def retire(self) -> None:
+        """Has answers announce the end of their connections."""
+        for desk in self.desks.values():
+            desk.retire()
+
+    def close_listeners(self) -> None:
+        """Accepts no more connections, and closes those without a request."""
+        for server in self.servers:
+            server.close()
+        for desk in self.desks.values():
+            desk.end_idle()
+
+    def has_requests_in_progress(self) -> bool:
+        """Whether any request that was read is not answered yet."""
+        return any(line.owes for desk in self.desks.values() for line in desk.lines)
--- a/foxspread/mesh/gossip/__init__.py
+++ b/foxspread/mesh/gossip/__init__.py
@@ -1,3 +1,1 @@
-"""Who is there, and who lacks what (the field's terms: membership by partial views, anti-entropy by version
-vectors). Cores without I/O.
-"""
+"""Which processes there are and who lacks which state: partial views, connections, anti-entropy."""
--- a/foxspread/mesh/gossip/connection_manager.py
+++ b/foxspread/mesh/gossip/connection_manager.py
@@ -1,207 +1,273 @@
-"""Whom a process keeps links to. Without I/O: what is known and what came of each call is handed in, whom to
-call and whom to leave is pulled.
+"""Decides which replicas this process keeps connections to.
 
-Machines with a disk (keepers) keep links to all keepers; the others to a few keepers, those that the agreed
-set names and that are in contact with a majority first, spread by chance. Seeds and agreed members are known
-for good; others for as long as they answer. One that does not answer is called ever more rarely, and never
-takes the place of one that does.
+Replicas (processes with storage) connect to all replicas; sidecars to a few, and prefer those that the agreed
+membership names and that are in contact with a quorum, spread at random. Seeds and agreed members are
+remembered for good, other addresses for as long as they answer. An address that does not answer is dialled at
+growing intervals (exponential backoff with jitter) and never displaces one that does.
+
+Without I/O: events are reported by method calls, decisions are returned to the caller, which dials and
+closes.
 """
 
 import math
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Container, Iterable
 from dataclasses import dataclass
 
+from foxspread.mesh.gossip.partial_view import Neighbour
 from foxspread.mesh.settings import Address
 
-LINKS_MOST = 5  # to keepers, that a sidecar keeps
-CALLS_MOST = 5  # under way at once
-CALL_S = 0.6  # for a link to come up
-REFUSED_S, SILENT_S = 0.12, 0.3  # first pause, by chance up to half more
-VAIN = 3  # calls, after which the pause doubles: whoever refuses is often about to be there
-PAUSE_MOST_KEEPERS_S = 0.6  # of keepers to seeds and agreed members: a majority hangs on it
-PAUSE_MOST_S = 1.2  # of sidecars to these: whoever comes back is reached within about 2 s
-PAUSE_MOST_REST_S = 6.0
-HIGHER_S = 1.5  # after which the higher of two keepers calls too: the lower may not know of it
-FORGET_S = 30.0  # after which one that was called in vain is forgotten
-OTHERS_MOST = 64  # places known that are neither seeds nor agreed members
-CHANGE_S = 2.0  # between two changes of a link that stands for a better one; it doubles where none helps
-CHANGE_MOST_S = 30.0
-SIDES_AFTER_S = 0.8  # without a keeper in contact, neighbours are asked for news
-SIDES_MOST = 2  # of them
+MAX_SIDECAR_CONNECTIONS = 5  # to replicas, of one sidecar
+MAX_CONCURRENT_DIALS = 5
+DIAL_TIMEOUT_S = 0.6
+BACKOFF_AFTER_REFUSAL_S = 0.12  # first interval, lengthened by jitter of up to a half
+BACKOFF_AFTER_TIMEOUT_S = 0.3
+FAILURES_PER_DOUBLING = 3  # a machine that refuses is often about to start listening
+MAX_BACKOFF_REPLICAS_S = 0.6  # between replicas: a quorum may depend on it
+MAX_BACKOFF_SIDECARS_S = 1.2  # from sidecars: a restarted replica is reached within about 2 s
+MAX_BACKOFF_UNCONFIRMED_S = 6.0  # to addresses that are neither seeds nor members
+HIGHER_ADDRESS_DIALS_AFTER_S = (
+    1.5  # the lower address dials; the higher one too, if it is not reached by then
+)
+FORGET_UNREACHABLE_AFTER_S = 30.0
+MAX_UNCONFIRMED_ADDRESSES = 64
+REPLACEMENT_INTERVAL_S = 2.0  # between closing one connection for a better one; doubles while none helps
+MAX_REPLACEMENT_INTERVAL_S = 30.0
+MAX_REPLACEMENT_DOUBLINGS = 10
+FALLBACK_AFTER_S = 0.8  # without a replica in quorum contact
+MAX_FALLBACK_NEIGHBOURS = 2
 
 
 @dataclass(slots=True)
-class KnownAddress:
-    order: float  # by chance: which of many a sidecar prefers
-    since: float  # when it was first heard of, or last answered
-    name: str = ""  # who is there, while a link stands
-    contact: bool = False  # it says that it is in contact with a majority
-    vain: int = 0  # calls in a row
-    left: int = 0  # times that it was left for others, since it last was in contact
-    next_at: float = -math.inf
-    calling: bool = False
+class AddressState:
+    """What is known of one replica's address. Times are on this process's clock, in seconds."""
+
+    preference: float  # random: which of many a sidecar prefers
+    since: float  # when it was first heard of, or last connected
+    node: str = ""  # who answers there, while connected
+    in_contact: bool = False  # it reports contact with a quorum
+    failures: int = 0  # consecutive dials that failed
+    abandoned: int = 0  # times its connection was closed for another's, since it last was in quorum contact
+    next_dial_at: float = -math.inf
+    connecting: bool = False
 
 
 class ConnectionManager:
+    """Chooses which addresses to dial and which connections to close.
+
+    `own` is this process's address, `has_storage` whether it is a replica, `draw` returns random numbers in
+    [0, 1).
+    """
+
     def __init__(
         self, now: float, own: Address, has_storage: bool, seeds: Iterable[Address], draw: Callable[[], float]
     ) -> None:
         self.own, self.has_storage, self.draw = own, has_storage, draw
         self.seeds: frozenset[Address] = frozenset()
         self.members: frozenset[Address] = frozenset()
-        self.of: dict[Address, KnownAddress] = {}
-        self.next_change, self.changes = now + CHANGE_S, 0
-        self.seeded(now, seeds)
+        self.addresses: dict[Address, AddressState] = {}
+        self.next_replacement_at = now + REPLACEMENT_INTERVAL_S
+        self.replacements = 0
+        self.set_seeds(now, seeds)
 
-    # Who is there.
+    # Known addresses.
 
-    def seeded(self, now: float, seeds: Iterable[Address]) -> None:
+    def set_seeds(self, now: float, seeds: Iterable[Address]) -> None:
+        """The seeds of the settings file."""
         self.seeds = frozenset(seeds)
-        for each in self.seeds:
-            self.told(now, each)
+        for address in self.seeds:
+            self.add_address(now, address)
 
-    def agreed(self, now: float, members: Iterable[Address]) -> None:
-        """The members that the settled set names."""
+    def set_members(self, now: float, members: Iterable[Address]) -> None:
+        """The members that the committed set names."""
         self.members = frozenset(members)
-        for each in self.members:
-            self.told(now, each)
+        for address in self.members:
+            self.add_address(now, address)
 
-    def told(self, now: float, place: Address) -> None:
-        """A keeper is said to be there."""
-        if place == self.own or place in self.of:
+    def add_address(self, now: float, address: Address) -> None:
+        """A replica is said to listen there. Of too many unconfirmed addresses the oldest is dropped."""
+        if address == self.own or address in self.addresses:
             return
-        if place not in self.lasting:
-            others = [each for each in self.of if each not in self.lasting]
-            if len(others) >= OTHERS_MOST:
-                unlinked = [each for each in others if not self.of[each].name]
-                if not unlinked:
-                    return
-                del self.of[min(unlinked, key=lambda each: (self.of[each].since, each))]
-        self.of[place] = KnownAddress(self.draw(), now)
+        if address not in self.permanent_addresses and not self._make_space():
+            return
+        self.addresses[address] = AddressState(self.draw(), now)
+
+    def _make_space(self) -> bool:
+        unconfirmed = [each for each in self.addresses if each not in self.permanent_addresses]
+        if len(unconfirmed) < MAX_UNCONFIRMED_ADDRESSES:
+            return True
+        unconnected = [each for each in unconfirmed if not self.addresses[each].node]
+        if not unconnected:
+            return False
+        del self.addresses[min(unconnected, key=lambda each: (self.addresses[each].since, each))]
+        return True
 
     @property
-    def lasting(self) -> frozenset[Address]:
+    def permanent_addresses(self) -> frozenset[Address]:
+        """Those that are never forgotten."""
         return self.seeds | self.members
 
-    def up(self, now: float, place: Address, name: str, contact: bool) -> None:
-        """A link to that keeper stands, whoever called."""
-        self.told(now, place)
-        if (there := self.of.get(place)) is not None:
-            there.name, there.contact, there.calling = name, contact, False
-            there.vain, there.next_at = 0, -math.inf
-            there.left = 0 if contact else there.left
-
-    def contact(self, name: str, contact: bool) -> None:
-        for there in self.of.values():
-            if there.name == name:
-                there.contact = contact
-                there.left = 0 if contact else there.left
-
-    def down(self, now: float, name: str) -> None:
-        for there in self.of.values():
-            if there.name == name:
-                there.name, there.contact, there.since = "", False, now
-
-    def vain(self, now: float, place: Address, refused: bool) -> None:
-        """A call came to nothing: the machine refused, or said nothing."""
-        there = self.of.get(place)
-        if there is None or there.name:
+    # Events.
+
+    def connected(self, now: float, address: Address, node: str, in_contact: bool) -> None:
+        """A connection to that replica is open, whichever side dialled."""
+        self.add_address(now, address)
+        if (state := self.addresses.get(address)) is not None:
+            state.node, state.in_contact, state.connecting = node, in_contact, False
+            state.failures, state.next_dial_at = 0, -math.inf
+            if in_contact:
+                state.abandoned = 0
+
+    def set_quorum_contact(self, node: str, in_contact: bool) -> None:
+        """A connected replica reports that its contact with a quorum began or ended."""
+        for state in self.addresses.values():
+            if state.node == node:
+                state.in_contact = in_contact
+                if in_contact:
+                    state.abandoned = 0
+
+    def disconnected(self, now: float, node: str) -> None:
+        """The connection to that replica is closed."""
+        for state in self.addresses.values():
+            if state.node == node:
+                state.node, state.in_contact, state.since = "", False, now
+
+    def dial_failed(self, now: float, address: Address, refused: bool) -> None:
+        """The machine refused the connection, or did not answer in time."""
+        state = self.addresses.get(address)
+        if state is None or state.node:
             return
-        there.calling = False
-        first = REFUSED_S if refused else SILENT_S
-        most = PAUSE_MOST_KEEPERS_S if self.has_storage else PAUSE_MOST_S
-        if place not in self.lasting:
-            most = PAUSE_MOST_REST_S
-        pause = min(most, first * 2 ** min(there.vain // VAIN, 10))
-        there.vain += 1
-        there.next_at = now + pause * (1 + 0.5 * self.draw())
+        state.connecting = False
+        first = BACKOFF_AFTER_REFUSAL_S if refused else BACKOFF_AFTER_TIMEOUT_S
+        backoff = min(
+            self._max_backoff(address), first * 2 ** min(state.failures // FAILURES_PER_DOUBLING, 10)
+        )
+        state.failures += 1
+        state.next_dial_at = now + backoff * (1 + 0.5 * self.draw())
+
+    def _max_backoff(self, address: Address) -> float:
+        if address not in self.permanent_addresses:
+            return MAX_BACKOFF_UNCONFIRMED_S
+        return MAX_BACKOFF_REPLICAS_S if self.has_storage else MAX_BACKOFF_SIDECARS_S
 
-    # What is pulled.
+    # Decisions.
 
     @property
-    def live(self) -> list[Address]:
-        return [place for place, there in self.of.items() if there.name]
-
-    def in_quorum_contact(self) -> list[str]:
-        """Names of linked keepers that say so."""
-        return [there.name for there in self.of.values() if there.name and there.contact]
-
-    def calls(self, now: float) -> list[Address]:
-        """Whom to call now; each counts as being called until it is up or in vain."""
-        for place in [each for each in self.of if each not in self.lasting]:
-            there = self.of[place]
-            if there.vain and not there.calling and now - there.since > FORGET_S:
-                del self.of[place]
-        under_way = sum(there.calling for there in self.of.values())
-        room = CALLS_MOST - under_way
+    def connected_addresses(self) -> list[Address]:
+        """Addresses of replicas that are connected."""
+        return [address for address, state in self.addresses.items() if state.node]
+
+    def replicas_in_contact(self) -> list[str]:
+        """Nodes of connected replicas that report contact with a quorum."""
+        return [state.node for state in self.addresses.values() if state.node and state.in_contact]
+
+    def addresses_to_dial(self, now: float) -> list[Address]:
+        """Whom to dial now; each counts as being dialled until `connected` or `dial_failed`."""
+        self._forget_unreachable(now)
+        dialling = sum(state.connecting for state in self.addresses.values())
+        free = MAX_CONCURRENT_DIALS - dialling
         if not self.has_storage:
-            room = min(room, LINKS_MOST - len(self.live) - under_way)
-        due = [place for place in self._ranked() if self._due(now, place)][: max(0, room)]
-        for place in due:
-            self.of[place].calling = True
+            free = min(free, MAX_SIDECAR_CONNECTIONS - len(self.connected_addresses) - dialling)
+        due = [address for address in self._ranked() if self._is_due(now, address)][: max(0, free)]
+        for address in due:
+            self.addresses[address].connecting = True
         return due
 
-    def surplus(self, now: float) -> list[str]:
-        """Names of keepers whose links a sidecar ends: those over its number, and one now and then where a
-        better one may be had: an agreed member for another, or, with none in contact, any for one that is
-        not. The latter ever more rarely: where no keeper is in contact, no change helps."""
+    def _forget_unreachable(self, now: float) -> None:
+        for address in [each for each in self.addresses if each not in self.permanent_addresses]:
+            state = self.addresses[address]
+            if state.failures and not state.connecting and now - state.since > FORGET_UNREACHABLE_AFTER_S:
+                del self.addresses[address]
+
+    def connections_to_close(self, now: float) -> list[str]:
+        """Nodes of replicas whose connections a sidecar closes.
+
+        Those over its number; and one now and then where a better one may be had: an agreed member in place
+        of another, or, with none in quorum contact, any in place of one that is not. The latter at growing
+        intervals: where no replica is in contact, replacing connections does not help.
+        """
         if self.has_storage:
             return []
-        ranked = [place for place in self._ranked() if self.of[place].name]
-        over = [self.of[place].name for place in ranked[LINKS_MOST:]]
-        found = self.in_quorum_contact()
-        if found:
-            self.changes = 0
-        if over or len(ranked) < LINKS_MOST or now < self.next_change:
-            return over
+        ranked = [address for address in self._ranked() if self.addresses[address].node]
+        surplus = [self.addresses[address].node for address in ranked[MAX_SIDECAR_CONNECTIONS:]]
+        in_contact = self.replicas_in_contact()
+        if in_contact:
+            self.replacements = 0
+        if surplus or len(ranked) < MAX_SIDECAR_CONNECTIONS or now < self.next_replacement_at:
+            return surplus
         worst = ranked[-1]
-        free = [place for place, there in self.of.items() if not there.name and there.vain == 0]
-        if worst not in self.members and any(p in self.members and not self.of[p].left for p in free):
-            self.next_change = now + CHANGE_S
-        elif not found and free:
-            self.next_change = now + min(CHANGE_MOST_S, CHANGE_S * 2**self.changes) * (1 + self.draw())
-            self.changes = min(self.changes + 1, 10)
-            self.of[worst].left += 1
-        else:
-            return []
-        return [self.of[worst].name]
+        return [self.addresses[worst].node] if self._replace(now, worst, bool(in_contact)) else []
+
+    def _replace(self, now: float, worst: Address, any_in_contact: bool) -> bool:
+        """Whether to close the connection to `worst`, and when to look again."""
+        free = [each for each, state in self.addresses.items() if not state.node and state.failures == 0]
+        member_is_free = any(each in self.members and not self.addresses[each].abandoned for each in free)
+        if worst not in self.members and member_is_free:
+            self.next_replacement_at = now + REPLACEMENT_INTERVAL_S
+            return True
+        if any_in_contact or not free:
+            return False
+        interval = min(MAX_REPLACEMENT_INTERVAL_S, REPLACEMENT_INTERVAL_S * 2**self.replacements)
+        self.next_replacement_at = now + interval * (1 + self.draw())
+        self.replacements = min(self.replacements + 1, MAX_REPLACEMENT_DOUBLINGS)
+        self.addresses[worst].abandoned += 1
+        return True
 
     def _ranked(self) -> list[Address]:
-        """Those whose calls come to nothing last; agreed members first, those in contact first, then by
-        chance."""
+        """Unreachable addresses last; agreed members first, of them those in contact, then at random."""
 
-        def rank(place: Address) -> tuple:
-            there = self.of[place]
+        def rank(address: Address) -> tuple[bool, int, bool, bool, float]:
+            state = self.addresses[address]
             return (
-                not there.name and there.vain > 0,
-                0 if there.name else there.left,
-                place not in self.members,
-                bool(there.name) and not there.contact,
-                there.order,
+                not state.node and state.failures > 0,
+                0 if state.node else state.abandoned,
+                address not in self.members,
+                bool(state.node) and not state.in_contact,
+                state.preference,
             )
 
-        return sorted(self.of, key=rank)
+        return sorted(self.addresses, key=rank)
 
-    def _due(self, now: float, place: Address) -> bool:
-        there = self.of[place]
-        if there.name or there.calling or now < there.next_at:
+    def _is_due(self, now: float, address: Address) -> bool:
+        state = self.addresses[address]
+        if state.node or state.connecting or now < state.next_dial_at:
             return False
-        if not self.has_storage or self.own < place or place in self.seeds and self.own not in self.seeds:
+        if not self.has_storage or self.own < address:
+            return True
+        if address in self.seeds and self.own not in self.seeds:
             return True
-        return now - there.since >= HIGHER_S
+        return now - state.since >= HIGHER_ADDRESS_DIALS_AFTER_S
 
 
 class NeighbourFallback:
-    """Where no keeper in contact can be reached, a few sidecars are asked for news until one can."""
+    """Lets a sidecar get its state from a few other sidecars while no replica in quorum contact is reached.
+
+    `draw` returns random numbers in [0, 1).
+    """
 
-    def __init__(self, now: float) -> None:
-        self.alone_since: float | None = now
+    def __init__(self, now: float, draw: Callable[[], float]) -> None:
+        self.draw = draw
+        self.isolated_since: float | None = now
+        self.next_dial_at: dict[Address, float] = {}
 
-    def wanted(self, now: float, in_quorum_contact: int, connections: int) -> int:
-        """How many more sidecars to have links to."""
-        if in_quorum_contact:
-            self.alone_since = None
+    def missing(self, now: float, replicas_in_contact: int, neighbours: int) -> int:
+        """How many sidecars to connect to in addition to the `neighbours` that are connected."""
+        if replicas_in_contact:
+            self.isolated_since = None
+            self.next_dial_at.clear()
             return 0
-        if self.alone_since is None:
-            self.alone_since = now
-        return max(0, SIDES_MOST - connections) if now - self.alone_since > SIDES_AFTER_S else 0
+        if self.isolated_since is None:
+            self.isolated_since = now
+        if now - self.isolated_since <= FALLBACK_AFTER_S:
+            return 0
+        return max(0, MAX_FALLBACK_NEIGHBOURS - neighbours)
+
+    def addresses_to_dial(
+        self, now: float, candidates: Iterable[Neighbour], connected: Container[str]
+    ) -> list[Address]:
+        """Those of the candidates that are not connected and were not dialled a moment ago."""
+        due = []
+        for each in candidates:
+            if each.node not in connected and now >= self.next_dial_at.get(each.address, 0.0):
+                self.next_dial_at[each.address] = now + DIAL_TIMEOUT_S * (1 + 0.5 * self.draw())
+                due.append(each.address)
+        return due
--- a/foxspread/mesh/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -68,7 +68,9 @@
         hollow.server.berths += 1
         at = time.monotonic()
         id = f"{told['node']}-{hollow.starts}"
-        await hollow.node.desks["control"].resources["Instances"].post_beat(id, hollow.server.beat())
+        await (
+            hollow.node.endpoints.desks["control"].resources["Instances"].post_beat(id, hollow.server.beat())
+        )
         return {"at": at, "what": f"{id}@{hollow.server.berths}"}
 
     async def _look(self, told: dict[str, Any]) -> dict[str, Any]:
--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -23,7 +23,7 @@
 
 
 class _Node(Node):
-    def _reread(self) -> None:
+    def reload_settings(self) -> None:
         """All of one process have one environment: the settings stay as they were handed in."""
 
 
@@ -104,9 +104,9 @@
 
     async def _beats(self, node: Node, server: Server, id: str) -> None:
         beat_s = self.settings.heartbeat_s
-        while "control" not in node.desks:
+        while "control" not in node.endpoints.desks:
             await asyncio.sleep(0.01)
-        instances: Any = node.desks["control"].resources["Instances"]
+        instances: Any = node.endpoints.desks["control"].resources["Instances"]
         await asyncio.sleep(beat_s * node.chance.draw())
         while True:
             outcome = await instances.post_beat(id, server.beat())
--- a/foxspread/mesh/hollow/sizing.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -110,9 +110,9 @@
 
 
 def _told_all(exchange: AntiEntropy, peer: Hashable) -> None:
-    """As `met` and `whole` leave it; these take milliseconds at many sources."""
-    exchange.met(peer)
-    exchange.peers[peer].told, exchange.peers[peer].held = exchange.changes, set()
+    """As `add_peer` and `full_announcement` leave it; these take milliseconds at many sources."""
+    exchange.add_peer(peer)
+    exchange.peers[peer].notified, exchange.peers[peer].withheld = exchange.change_count, set()
 
 
 def weighed(sidecars: int, services: int, routes: int, zones: int, keepers: int) -> list[Weighed]:
@@ -145,11 +145,11 @@
     def at_sidecar() -> AntiEntropy:
         exchange = AntiEntropy(lambda peer, source: source == "me")
         for peer in range(min(5, keepers)):
-            exchange.met(peer)
-            exchange.told(peer, {source: tuple(v) for source, v in versions.items()})
+            exchange.add_peer(peer)
+            exchange.receive(peer, {source: tuple(v) for source, v in versions.items()})
         for source, version in versions.items():
-            exchange.have(source, tuple(version))
-        exchange.notices()
+            exchange.set_version(source, tuple(version))
+        exchange.announcements()
         return exchange
 
     made, took, memory = filled(at_sidecar)
@@ -158,15 +158,15 @@
     def at_keeper() -> AntiEntropy:
         exchange = AntiEntropy(lambda peer, source: source != COMMITTED_SET)
         for source, version in versions.items():
-            exchange.have(source, tuple(version))
+            exchange.set_version(source, tuple(version))
         exchange.dirty.clear()  # who is there was told as they came
         for source in versions:
             _told_all(exchange, source)
-            exchange.told(source, {source: tuple(versions[source])})
+            exchange.receive(source, {source: tuple(versions[source])})
         for keeper in range(keepers - 1):
             _told_all(exchange, keeper)
-            exchange.told(keeper, {source: tuple(v) for source, v in versions.items()})
-        exchange.notices()
+            exchange.receive(keeper, {source: tuple(v) for source, v in versions.items()})
+        exchange.announcements()
         return exchange
 
     exchange, took, memory = filled(at_keeper)
@@ -175,13 +175,17 @@
     )
 
     def changed() -> list:
-        exchange.have(told[0][0], (LIFE * 2, exchange.changes))
-        return exchange.notices()
+        exchange.set_version(told[0][0], (LIFE * 2, exchange.change_count))
+        return exchange.announcements()
 
     out.append(Weighed("one change at a keeper: whom to tell what", None, timed(changed)))
     out.append(Weighed("one change at a keeper: what to ask for", None, timed(lambda: exchange.pulls(0.0))))
     out.append(
-        Weighed("one newcomer at a keeper: all versions", None, timed(lambda: exchange.whole(told[0][0])))
+        Weighed(
+            "one newcomer at a keeper: all versions",
+            None,
+            timed(lambda: exchange.full_announcement(told[0][0])),
+        )
     )
 
     one = records.of[told[0][0]].packed()
--- a/foxspread/mesh/hollow/traffic_meter.py
+++ b/foxspread/mesh/hollow/traffic_meter.py
@@ -146,7 +146,7 @@
 
 def _by_kind(connection: PeerConnection, meter: Meter, at: list[_Transport]) -> None:
     """Instead of the link's own methods: those, and the count of what goes through them by kind."""
-    received, send, heard = connection.data_received, connection.send, connection.heard
+    received, send, heard = connection.data_received, connection.send, connection.on_message
     kinds: set[str] = set()
     waiting = 0
 
@@ -174,4 +174,8 @@
         meter.messages[f"heard {kind}"] += 1
         heard(heard_by, message)
 
-    connection.data_received, connection.send, connection.heard = data_received, counted_send, counted_heard
+    connection.data_received, connection.send, connection.on_message = (
+        data_received,
+        counted_send,
+        counted_heard,
+    )
--- /dev/null
+++ b/foxspread/mesh/owned_tasks.py
@@ -0,0 +1,28 @@
+"""Keeps the tasks that a part of the process starts, so that none is lost, and none fails unseen."""
+
+import asyncio
+from collections.abc import Coroutine
+
+
+class OwnedTasks:
+    """The tasks of one owner: kept while they run, cancelled together, their failures reported at once."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop = loop
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def start(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Runs it in a task of the loop."""
+        task = self.loop.create_task(coroutine)
+        self.tasks.add(task)
+        task.add_done_callback(self._on_done)
+
+    def cancel(self) -> None:
+        """All that still run."""
+        for task in self.tasks:
+            task.cancel()
+
+    def _on_done(self, task: asyncio.Task[None]) -> None:
+        self.tasks.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            self.loop.call_exception_handler({"message": "a task failed", "exception": error, "task": task})
--- /dev/null
+++ b/foxspread/mesh/replica_contact.py
@@ -0,0 +1,148 @@
+"""Keeps the replica on this machine in contact with a quorum, and in the membership.
+
+It asks the other replicas in rounds, answers them, notices an outdated disk by their answers, and lets the
+membership be changed where a member is gone. A core: messages to send are returned.
+"""
+
+import os
+from collections.abc import Callable
+
+from foxspread.mesh.replication.learner import unpack_proposal_number
+from foxspread.mesh.replication.quorum_contact import QuorumContact, Report, StartHistory
+from foxspread.mesh.replication.reconfiguration import ClusterView, Reconfiguration
+from foxspread.mesh.replication.replica_server import ReplicaServer
+from foxspread.mesh.settings import Settings
+from foxspread.mesh.transport.messages import Fields
+
+CONTACT_REQUEST, CONTACT_RESPONSE = "contact", "contacted"  # kinds, of `replication/quorum_contact.py`
+DISK_IDENTITY_BYTES = 8
+
+
+class ReplicaContact:
+    """The `LocalReplica` that `StateSync` asks, around the replica's server.
+
+    `settings` returns those in force; `is_leaving` whether the process is shutting down.
+    """
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        settings: Callable[[], Settings],
+        is_leaving: Callable[[], bool],
+        server: ReplicaServer,
+        quorum_contact: QuorumContact,
+        reconfiguration: Reconfiguration,
+    ) -> None:
+        self.clock, self.settings, self.is_leaving = clock, settings, is_leaving
+        self.server, self.quorum_contact, self.reconfiguration = server, quorum_contact, reconfiguration
+        self.starts = StartHistory()
+        self.announced = False  # whether peers were last told that there is contact
+
+    # As `StateSync` sees the replica.
+
+    @property
+    def recovered(self) -> bool:
+        """The disk has been read."""
+        return self.server.acceptor is not None
+
+    @property
+    def fresh(self) -> bool:
+        """Since its start the replica has learnt all that was committed before."""
+        return self.server.fresh
+
+    def in_contact(self) -> bool:
+        """Whether this replica, now, can have missed no more than a moment of commits."""
+        acceptor = self.server.acceptor
+        if acceptor is None or not acceptor.known:
+            return False  # an empty disk: the members are known from the seeds only
+        self.quorum_contact.held(self.server.members, acceptor.learner.committed_number)
+        return self.quorum_contact.current(self.clock())
+
+    def age(self) -> float | None:
+        """Seconds for which it may have missed commits; None: not known."""
+        return self.quorum_contact.age(self.clock())
+
+    def learn(self, committed_number: tuple[int, str], rows: list, replaced: bool) -> None:
+        """Rows of the committed set have come from a peer."""
+        self.server.learn(committed_number, rows, replaced)
+
+    def peer_committed(self, committed_number: tuple[int, str]) -> None:
+        """A peer has committed that proposal."""
+        self.server.peer_committed(committed_number)
+
+    # Rounds.
+
+    def replica_connected(self, now: float, member: str) -> None:
+        """The next round begins at the next tick, and what was not answered is sent again."""
+        self.quorum_contact.next_at = now
+        self.server.reached(member)
+
+    def request(self, now: float) -> Fields | None:
+        """What to ask all connected replicas; None before its time."""
+        asking = self.quorum_contact.ask(now, self.report())
+        if asking is None:
+            return None
+        acceptor = self.server.acceptor
+        return asking | {
+            "life": self.server.incarnation,
+            "disk": acceptor.disk,
+            "boots": acceptor.start_count,
+            "promised": self.server.durable,
+        }
+
+    def handle(self, sender: str, fields: Fields) -> Fields | None:
+        """A message from another replica, by its member name; returns the answer to it, if there is one."""
+        kind = fields.get("t")
+        if kind == CONTACT_REQUEST:
+            return self._answer(sender, fields) if self.recovered else None
+        if kind == CONTACT_RESPONSE:
+            if fields.get("older") == self.server.incarnation:
+                self.server.found_older(os.urandom(DISK_IDENTITY_BYTES).hex())
+            self.quorum_contact.heard(self.clock(), sender, fields)
+        else:
+            self.server.heard(sender, fields)
+        return None
+
+    def _answer(self, sender: str, fields: Fields) -> Fields:
+        disk, promised = unpack_proposal_number(fields["disk"]), unpack_proposal_number(fields["promised"])
+        outdated = self.starts.told(sender, fields["life"], disk, fields["boots"], promised)
+        answer = QuorumContact.answer(fields, self.report())
+        return {**answer, "older": fields["life"]} if outdated else answer
+
+    def take_change(self) -> bool | None:
+        """Whether there is contact with a quorum, if peers are to be told: it began or ended."""
+        in_contact = self.in_contact()
+        if in_contact == self.announced:
+            return None
+        self.announced = in_contact
+        return in_contact
+
+    def report(self) -> Report:
+        """What this replica says of itself."""
+        return self.server.own_report(
+            self.settings().zone, self.is_leaving(), self.quorum_contact.hears(self.clock())
+        )
+
+    # Membership.
+
+    def cluster_view(self) -> ClusterView:
+        """What is known here of the members, now."""
+        self.in_contact()  # what is committed here by now counts
+        return ClusterView.of(
+            self.clock(),
+            self.report(),
+            self.server.members,
+            self.server.acceptor.learner,
+            self.quorum_contact.reports,
+            self.quorum_contact.age(self.clock()),
+            self.settings().tolerate,
+            self.settings().tolerate_zones,
+        )
+
+    def reconfigure(self) -> None:
+        """Has the membership changed where that is due."""
+        self.reconfiguration.tend(self.clock, self.cluster_view(), self.server.ask)
+
+    def may_leave_membership(self, now: float) -> bool:
+        """Whether this process may end: the members do without it, or it holds nothing yet."""
+        return not self.recovered or self.reconfiguration.may_go(now, self.cluster_view())
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -10,15 +10,14 @@
 from foxspread.mesh.control_api.readiness import Readiness
 from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.errors import InvariantViolation, Failure
-from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer, ReceivedRows
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.quorum_contact import QuorumContact, Report
 from foxspread.mesh.replication.learner import (
     START,
     Learner,
     SnapshotChunk,
     Offset,
-    unpack_proposal_number,
-    unpack_row,
+    ProposalNumber,
 )
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import PATIENCE_S, Replica
@@ -26,14 +25,17 @@
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
 from foxspread.mesh.simulation.invariants import shown
+from foxspread.mesh.registry.own_record import OwnRecord
+from foxspread.mesh.replica_contact import CONTACT_REQUEST, CONTACT_RESPONSE
+from foxspread.mesh.state_sync import StateSync
+from foxspread.mesh.transport.messages import Fields, Have, Hello, News
 from foxspread.sums import Chance
 
 if TYPE_CHECKING:
     from foxspread.mesh.simulation.fleet import Fleet
 
-COMMITTED_SET = "="  # the source of the settled set, as in a node
 TICK_S = 0.1
-MEET_S = 1.5  # links come up anew, whoever was missed is told
+RECONNECT_S = 1.5  # links come up anew, whoever was missed is told
 PIECE_BYTES = 600  # of rows in a piece: so small that a set comes in many
 CUT_OFF_S = 0.3  # for a call on a machine without contact to a majority, as in a node
 SHOWN = THEIRS | {MEMBERS, LEASE}  # what the judge is shown
@@ -54,23 +56,38 @@
 
 
 class Party:
-    """One process that holds a copy: what a node does with news of the settled set."""
+    """One process that holds a copy: the core that a node runs too, in virtual time."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
         self.fleet, self.world, self.name = fleet, fleet.world, name
         self.incarnation, self.up, self.frozen = 0, False, False
         self.rate, self.offset = 1.0, 0.0
         self.inbox: list[Callable[[], None]] = []
-        self._holds(Learner())
-        self.anti_entropy = AntiEntropy()
-        self.flushing = False
+        self.sync = self._new_sync()
+
+    def _new_sync(self) -> StateSync:
+        return StateSync(
+            self.clock,
+            OwnRecord(self.name, None, 0),
+            self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.world.draw),
+            self._send,
+            lambda call: self.later(0.0, call),
+            lambda peer: isinstance(self.fleet.parties[peer], Machine),
+            self._show,
+            lambda node: None,
+            lambda: None,
+            self.fleet.cores.readiness(),
+        )
 
-    def _holds(self, learner: Learner) -> None:
-        def small(after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-            return Learner.piece(learner, after, most, bare)
+    @property
+    def learner(self) -> Learner:
+        """The committed set as held here."""
+        return self.sync.learner
 
-        self.learner, learner.piece = learner, small
-        self.snapshot_transfer = self.fleet.cores.snapshot_transfer(learner, self.world.draw)
+    @property
+    def anti_entropy(self) -> AntiEntropy:
+        """Who lacks what."""
+        return self.sync.anti_entropy
 
     @property
     def named(self) -> str:
@@ -109,84 +126,34 @@
         self.fleet.links.lives[self.name] = self.incarnation
 
     def start(self) -> None:
-        self.up, self.flushing = True, False
-        self.anti_entropy = AntiEntropy(self._tells)
+        self.up = True
+        self.sync = self._new_sync()
         self.fleet.judge.started(self.named)
-        self.later(0.0, self._meet)
+        self.later(0.0, self._connect)
         self.later(self.world.draw() * TICK_S, self._tick)
 
     def _tick(self) -> None:
-        self._flush()
+        self.sync.flush()
         self.later(TICK_S / self.rate, self._tick)
 
-    def _tells(self, peer: str, source: str) -> bool:
-        return False
-
-    # News.
+    # Peers.
 
-    def _meet(self) -> None:
-        self.later(MEET_S, self._meet)
+    def _connect(self) -> None:
+        self.later(RECONNECT_S, self._connect)
         for core in self.fleet.machines:
             if core.name != self.name:
-                self._met(core.name)
-                self._send(core.name, {"t": "hello"})
+                self._peer_connected(core.name)
+                self._send(core.name, {"t": Hello.kind})
 
-    def _met(self, name: str) -> None:
-        self.anti_entropy.left(name)
-        self.anti_entropy.met(name)
-        self.snapshot_transfer.left(name)
-        if versions := self.anti_entropy.whole(name):
-            self._send(name, {"t": "have", "v": versions})
-
-    def heard(self, sender: str, message: dict[str, Any]) -> None:
-        kind = message["t"]
-        if kind == "hello":
-            self._met(sender)
-        elif kind == "have":
-            committed_number = unpack_proposal_number(message["v"][COMMITTED_SET])
-            if self._learns_from(sender):
-                self.snapshot_transfer.told(sender, committed_number)
-            self._noticed(committed_number)
-            self._soon()
-        elif kind == "pull":
-            if self._may_tell(sender):
-                news = {
-                    "t": "news",
-                    "at": message["at"],
-                    "upto": self.learner.committed_number,
-                    "age": self._age(),
-                }
-                self._send(sender, news)
-        elif kind == "news":
-            self._hears_news(sender, message)
-            self._soon()
-        elif kind == "piece":
-            if self._may_tell(sender):
-                has_storage = isinstance(self.fleet.parties[sender], Machine)
-                self._send(sender, SnapshotTransfer.answer(self.learner, message, self._age(), has_storage))
-        elif kind == "rows":
-            if (taken := self.snapshot_transfer.heard(self.clock(), sender, message)) is not None:
-                self._take(taken)
-            self._soon()
-
-    def _learns_from(self, sender: str) -> bool:
-        return True
+    def _peer_connected(self, name: str) -> None:
+        self.sync.peer_disconnected(name)
+        self.sync.peer_connected(name)
 
-    def _may_tell(self, to: str) -> bool:
-        """Of the settled set, now."""
-        return False
-
-    def _age(self) -> float | None:
-        return None
-
-    def _hears_news(self, sender: str, news: dict[str, Any]) -> None:
-        pass
-
-    def _noticed(self, at: tuple) -> None:
-        pass
-
-    def _take(self, taken: ReceivedRows) -> None:
-        pass
+    def heard(self, sender: str, message: Fields) -> None:
+        if message["t"] == Hello.kind:
+            self._peer_connected(sender)
+        else:
+            self.sync.handlers[message["t"]](sender, message)
 
     def _show(self, new: list[Item]) -> None:
         self.fleet.judge.now = self.world.now
@@ -195,57 +162,48 @@
                 f"{self.name} shows {' '.join(map(shown, new))}, upto {self.learner.committed_number[0]}"
             )
             self.fleet.judge.shows(self.named, new)
-        self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
-        self.anti_entropy.dirty.add(COMMITTED_SET)
-        self._soon()
 
-    def _soon(self) -> None:
-        if not self.flushing:
-            self.flushing = True
-            self.later(0.0, self._flush)
+    def _send(self, to: str, message: Fields) -> None:
+        if not _says_nothing(message):
+            self.fleet.links.send(self.name, to, message)
+
 
-    def _flush(self) -> None:
-        self.flushing = False
-        for peer, versions in self.anti_entropy.notices():
-            self._send(peer, {"t": "have", "v": versions})
-        for peer, message in self.snapshot_transfer.step(self.clock()):
-            self._send(peer, message)
+def _says_nothing(message: Fields) -> bool:
+    """Messages that a node sends and that tell nothing here, where nobody has an endpoint record: left out,
+    so that a seed draws what it always drew."""
+    if message["t"] == News.kind:
+        return "upto" not in message
+    return message["t"] == Have.kind and not message["v"]
 
-    def _send(self, to: str, message: dict[str, Any]) -> None:
-        self.fleet.links.send(self.name, to, message)
+
+def _in_small_chunks(learner: Learner) -> Learner:
+    def piece(after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
+        return Learner.piece(learner, after, most, bare)
+
+    learner.piece = piece
+    return learner
 
 
 class Sidecar(Party):
     """A copy beside no disk: all that it knows it has from others, in each life anew."""
 
     def start(self) -> None:
-        self._holds(Learner())
-        self.readiness, self.was_ready = self.fleet.cores.readiness(), False
+        self.was_ready = False
         super().start()
 
     def _tick(self) -> None:
-        if self.readiness.asks(self.clock(), False):
+        if self.sync.readiness.asks(self.clock(), False):
             to = self.world.pick(self.fleet.machines).name
-            self._send(
-                to, {"t": "pull", "v": {COMMITTED_SET: self.learner.committed_number}, "at": self.clock()}
-            )
+            self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
 
-    def _hears_news(self, sender: str, news: dict[str, Any]) -> None:
-        if (committed_number := unpack_proposal_number(news["upto"])) > self.learner.committed_number:
-            self.snapshot_transfer.told(sender, committed_number)
-        else:
-            self._based(news["at"], news["age"])
-
-    def _take(self, taken: ReceivedRows) -> None:
-        take = self.learner.replace if taken.replaced else self.learner.fold
-        self._show(take(taken.committed_number, map(unpack_row, taken.rows)))
+    def _show(self, new: list[Item]) -> None:
+        super()._show(new)
         self.fleet.judge.tells(self.named, "shows the set", self.learner.items)
-        self._based(self.clock(), taken.age)
 
-    def _based(self, asked_at: float, age: float | None) -> None:
-        self.readiness.told(self.clock(), asked_at, age)
-        if not self.was_ready and self.readiness.ready(bool(self.learner.items)):
+    def heard(self, sender: str, message: Fields) -> None:
+        super().heard(sender, message)
+        if not self.was_ready and self.sync.readiness.ready(self.sync.has_items):
             self.was_ready = True
             self.fleet.judge.tells(self.named, "is ready", self.learner.items)
 
@@ -289,16 +247,17 @@
         fleet, world = self.fleet, self.world
         saved = self.disk.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
-        self._holds(acceptor.learner)
+        self.sync.learner = _in_small_chunks(acceptor.learner)
         draw = Chance(int(world.draw() * 2**32)).draw
         self.core = fleet.cores.replica(
-            self.clock, self.named, draw, self._put, self._send, self._hears_itself, self._show
+            self.clock, self.named, draw, self._put, self._send, self._hears_itself, self.sync.committed
         )
         self.core.proposes_with = fleet.cores.proposer
         self.core.others = lambda: [each.name for each in fleet.machines if each is not self]
         self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
         self.reconfiguration = fleet.cores.reconfiguration(self.name, self.named, draw)
         self.in_quorum_contact = False
+        self.sync.replica = self
         self.core.begin(acceptor)
 
     def kill(self) -> None:
@@ -324,7 +283,7 @@
             for each in self.fleet.machines:
                 if each is not self:
                     self._send(each.name, asking)
-        self._stand()
+        self._announce_contact()
         if self.ready:
             self.fleet.judge.tells(self.named, "is ready", self.learner.items)
         if self.fleet.plan.members_change:
@@ -335,9 +294,9 @@
 
     @property
     def ready(self) -> bool:
-        return bool(self.learner.items) and self.core.fresh and self._current()
+        return self.sync.ready()
 
-    def _current(self) -> bool:
+    def in_contact(self) -> bool:
         if self.core is None or self.core.acceptor is None:
             return False
         self.quorum_contact.held(self.core.acceptor.members, self.learner.committed_number)
@@ -357,24 +316,33 @@
             acceptor.disk,
         )
 
-    def _stand(self) -> None:
-        if (current := self._current()) != self.in_quorum_contact:
+    def _announce_contact(self) -> None:
+        if (current := self.in_contact()) != self.in_quorum_contact:
             self.in_quorum_contact = current
             if current:
-                self.anti_entropy.dirty.add(COMMITTED_SET)
-                self._soon()
+                self.sync.announce_committed_set()
 
-    def _tells(self, peer: str, source: str) -> bool:
-        return isinstance(self.fleet.parties[peer], Machine) or self._current()
+    def learn(self, committed_number: ProposalNumber, rows: list, replaced: bool) -> None:
+        """Of `LocalReplica`."""
+        self.core.learn(committed_number, rows, replaced)
 
-    def _learns_from(self, sender: str) -> bool:
-        return isinstance(self.fleet.parties[sender], Machine)
+    def peer_committed(self, committed_number: ProposalNumber) -> None:
+        """Of `LocalReplica`."""
+        self.core.peer_committed(committed_number)
 
-    def _may_tell(self, to: str) -> bool:
-        return isinstance(self.fleet.parties[to], Machine) or self._current()
+    @property
+    def recovered(self) -> bool:
+        """Of `LocalReplica`: a machine starts with its disk read."""
+        return True
+
+    @property
+    def fresh(self) -> bool:
+        """Of `LocalReplica`."""
+        return self.core.fresh
 
-    def _age(self) -> float | None:
-        return self.quorum_contact.age(self.clock()) if self._current() else None
+    def age(self) -> float | None:
+        """Of `LocalReplica`."""
+        return self.quorum_contact.age(self.clock())
 
     # Who the members are.
 
@@ -409,30 +377,24 @@
 
     # What it hears.
 
-    def heard(self, sender: str, message: dict[str, Any]) -> None:
+    def heard(self, sender: str, message: Fields) -> None:
         kind = message["t"]
-        if kind in ("hello", "have", "pull", "news", "piece", "rows"):
+        if kind == Hello.kind or kind in self.sync.handlers:
             super().heard(sender, message)
-            if kind == "hello" and isinstance(self.fleet.parties[sender], Machine):
+            if kind == Hello.kind and isinstance(self.fleet.parties[sender], Machine):
                 self.quorum_contact.next_at = self.clock()
                 self.core.reached(sender)
-        elif kind == "contact":
+        elif kind == CONTACT_REQUEST:
             self._send(sender, self.quorum_contact.answer(message, self._report()))
-        elif kind == "contacted":
+        elif kind == CONTACT_RESPONSE:
             self.quorum_contact.heard(self.clock(), sender, message)
-            self._stand()
+            self._announce_contact()
         else:
             self.core.heard(sender, message)
 
-    def _noticed(self, at: tuple) -> None:
-        self.core.peer_committed(at)
-
-    def _take(self, taken: ReceivedRows) -> None:
-        self.core.learn(taken.committed_number, taken.rows, taken.replaced)
-
     def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
-        patience = PATIENCE_S if self._current() else CUT_OFF_S
+        patience = PATIENCE_S if self.in_contact() else CUT_OFF_S
         self.core.ask(list(items), lambda outcome: tell(outcome, self.theirs()), patience)
 
     def theirs(self) -> dict[Key, Item]:
--- a/foxspread/mesh/transport/__init__.py
+++ b/foxspread/mesh/transport/__init__.py
@@ -1,2 +1,4 @@
-"""What the system's own processes say to each other: netstrings of JSON over TCP. The path of requests is
-HTTP."""
+"""How processes of the mesh talk to each other: netstrings of JSON over TCP, and over UDP for gossip.
+
+Requests of services take another path, HTTP (`foxspread.mesh.dataplane`).
+"""
--- a/foxspread/mesh/transport/datagrams.py
+++ b/foxspread/mesh/transport/datagrams.py
@@ -1,17 +1,19 @@
-"""Single messages without a connection, a netstring each: for what may be lost now and then."""
+"""Sends and receives single messages over UDP, one netstring each: for what may be lost now and then."""
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.transport.netstrings import Decoder, encode
 from foxspread.mesh.settings import Address
+from foxspread.mesh.transport.messages import Fields, Message
+from foxspread.mesh.transport.netstrings import Decoder, encode
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    def __init__(self, heard: Callable[[dict[str, Any]], None]) -> None:
-        self.heard = heard
+    """One UDP socket; `on_message` gets the fields of each message that arrives."""
+
+    def __init__(self, on_message: Callable[[Fields], None]) -> None:
+        self.on_message = on_message
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
@@ -19,12 +21,13 @@
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
         messages = Decoder().feed(data)
-        for message in () if isinstance(messages, Failure) else messages:
-            self.heard(message)
+        for fields in () if isinstance(messages, Failure) else messages:
+            self.on_message(fields)
 
     def error_received(self, error: Exception) -> None:
-        pass  # a port without a process says so; the view forgets it by itself
+        """A port without a process behind it; the partial view drops that process by itself."""
 
-    def send(self, place: Address, message: dict[str, Any]) -> None:
+    def send(self, address: Address, message: Message) -> None:
+        """Without effect until the socket is open."""
         if self.transport is not None:
-            self.transport.sendto(encode(message), place)
+            self.transport.sendto(encode(message.packed()), address)
--- a/foxspread/mesh/transport/netstrings.py
+++ b/foxspread/mesh/transport/netstrings.py
@@ -1,8 +1,10 @@
-"""Netstrings of JSON, without I/O: LENGTH:JSON, with zlib where that is shorter by far (a packed one begins
-with 0x78, JSON of ours with a brace). Bounds what a peer may make us hold.
+"""Frames messages as netstrings of JSON: LENGTH:BODY, with the body compressed by zlib where it is large.
 
-The settled set goes in pieces of some 64 KiB. What may be larger is what a ballot changes, told whole in
-`accept` and `promise`: the operator's calls that are under way together.
+A compressed body begins with 0x78, JSON of ours with a brace. The lengths bound what a peer can make this
+process hold. The committed set travels in chunks of some 64 KiB; the largest messages are `accept` and
+`promise`, which carry whole proposals: the calls of the operator that are in progress together.
+
+Without I/O.
 """
 
 import zlib
@@ -12,54 +14,59 @@
 
 from foxspread.mesh.errors import Failure
 
-MOST = 8 * 1024 * 1024  # bytes of one message, packed or not
-PACKED_FROM = 1500  # bytes
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # compressed or not
+COMPRESS_FROM_BYTES = 1500  # below that, one packet holds it anyway
+COMPRESSION_LEVEL = 1  # the cheapest: the records of a fleet still shrink by far
+MAX_LENGTH_DIGITS = 9  # with the colon: a longer length is refused before its end is read
 
 
 def encode(message: dict[str, Any]) -> bytes | Failure:
-    """A failure where a peer would not take it, and end the link for it."""
+    """The bytes of a message; a failure if it is too large for any peer to accept."""
     body = orjson.dumps(message)
-    if len(body) > MOST:
+    if len(body) > MAX_MESSAGE_BYTES:
         return Failure(f"a message {message.get('t')!r} of {len(body)} bytes")
-    if len(body) > PACKED_FROM:
-        body = zlib.compress(body, 1)
+    if len(body) > COMPRESS_FROM_BYTES:
+        body = zlib.compress(body, COMPRESSION_LEVEL)
     return b"%d:%s," % (len(body), body)
 
 
 class Decoder:
+    """Takes the bytes of one connection, cut anywhere."""
+
     def __init__(self) -> None:
-        self.held = b""
+        self.buffer = b""
 
     def feed(self, data: bytes) -> list[dict[str, Any]] | Failure:
-        """Whole messages, in order; a failure where what came can't be one: nothing after it counts."""
-        self.held = self.held + data if self.held else data
-        found: list[dict[str, Any]] = []
-        at, held = 0, self.held
-        while (colon := held.find(b":", at, at + 9)) >= 0:
-            if not held[at:colon].isdigit() or (size := int(held[at:colon])) > MOST:
-                return Failure(f"no length: {held[at:colon][:20]!r}")
+        """Complete messages, in order; a failure if the bytes cannot be messages: the connection is lost."""
+        self.buffer = self.buffer + data if self.buffer else data
+        messages: list[dict[str, Any]] = []
+        at, buffer = 0, self.buffer
+        while (colon := buffer.find(b":", at, at + MAX_LENGTH_DIGITS)) >= 0:
+            if not buffer[at:colon].isdigit() or (size := int(buffer[at:colon])) > MAX_MESSAGE_BYTES:
+                return Failure(f"no length: {buffer[at:colon][:20]!r}")
             end = colon + 1 + size
-            if len(held) <= end:
+            if len(buffer) <= end:
                 break
-            if held[end : end + 1] != b",":
+            if buffer[end : end + 1] != b",":
                 return Failure("no comma at the end of a netstring")
-            message = _json(held[colon + 1 : end])
+            message = _parse(buffer[colon + 1 : end])
             if isinstance(message, Failure):
                 return message
-            found.append(message)
+            messages.append(message)
             at = end + 1
-        if at + 9 <= len(held) and held.find(b":", at, at + 9) < 0:
-            return Failure(f"no length: {held[at:at + 9]!r}")
-        self.held = held[at:]
-        return found
+        unframed = buffer[at : at + MAX_LENGTH_DIGITS]
+        if len(unframed) == MAX_LENGTH_DIGITS and b":" not in unframed:
+            return Failure(f"no length: {unframed!r}")
+        self.buffer = buffer[at:]
+        return messages
 
 
-def _json(body: bytes) -> dict[str, Any] | Failure:
+def _parse(body: bytes) -> dict[str, Any] | Failure:
     try:
         if body[:1] == b"x":
-            unpack = zlib.decompressobj()
-            body = unpack.decompress(body, MOST)
-            if unpack.unconsumed_tail or not unpack.eof:
+            decompressor = zlib.decompressobj()
+            body = decompressor.decompress(body, MAX_MESSAGE_BYTES)
+            if decompressor.unconsumed_tail or not decompressor.eof:
                 return Failure("a packed message is cut off or too large")
         message = orjson.loads(body)
     except (zlib.error, orjson.JSONDecodeError) as error:
--- a/foxspread/mesh/transport/peer_connection.py
+++ b/foxspread/mesh/transport/peer_connection.py
@@ -1,82 +1,112 @@
-"""A connection to another of the system's own processes: messages both ways, a word at least every
-`BEAT_S`, an end where nothing has been heard for `SILENT_S`. A connection through a cut says nothing of its
-own accord.
+"""One TCP connection to another process of the mesh: messages both ways, and whether the peer is alive.
+
+Each side sends something at least every `HEARTBEAT_INTERVAL_S` and closes a connection on which nothing came
+for `SILENCE_TIMEOUT_S`: a connection across a network partition reports no error by itself.
 """
 
 import asyncio
+import enum
 from collections.abc import Callable
-from typing import Any
 
-from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.log import log_event
+from foxspread.mesh.settings import Address
+from foxspread.mesh.transport.messages import HEARTBEAT_FIELDS, Fields, Heartbeat, kind_of
 from foxspread.mesh.transport.netstrings import Decoder, encode
 
 HEARTBEAT_INTERVAL_S = 0.4
-SILENCE_TIMEOUT_S = 1.5
-WRITE_BUFFER_LIMIT_BYTES = (
-    4 * 1024 * 1024
-)  # bytes waiting to be written: one that reads too slowly is left, and comes again
+SILENCE_TIMEOUT_S = 1.5  # more than three heartbeats
+WRITE_BUFFER_LIMIT_BYTES = 4 * 1024 * 1024  # a peer that reads more slowly is disconnected, and reconnects
+
+
+class ConnectionState(enum.Enum):
+    """The life of a connection, in order."""
+
+    CONNECTING = "connecting"  # no transport yet
+    OPEN = "open"  # messages pass; the peer has not introduced itself
+    IDENTIFIED = "identified"  # its hello has come
+    CLOSED = "closed"
 
 
 class PeerConnection(asyncio.Protocol):
+    """Calls `on_open` once, `on_message` for each message but heartbeats, `on_close` once.
+
+    `clock` returns seconds. `dialled_address` is where this process connected to, None where the peer did.
+    """
+
     def __init__(
         self,
         clock: Callable[[], float],
-        opened: Callable[["PeerConnection"], None],
-        heard: Callable[["PeerConnection", dict[str, Any]], None],
-        ended: Callable[["PeerConnection"], None],
+        on_open: Callable[["PeerConnection"], None],
+        on_message: Callable[["PeerConnection", Fields], None],
+        on_close: Callable[["PeerConnection"], None],
+        dialled_address: Address | None = None,
     ) -> None:
-        self.clock, self.opened, self.heard, self.ended = clock, opened, heard, ended
+        self.clock, self.on_open, self.on_message, self.on_close = clock, on_open, on_message, on_close
+        self.dialled_address = dialled_address
         self.decoder = Decoder()
         self.transport: asyncio.Transport | None = None
-        self.last_heard = self.last_sent = clock()
-        self.peer: Any = None  # who it is, once it has said so
-        self.dialled: Any = None  # whom we called, where we did
-        self.why = "closed"
+        self.last_received_at = self.last_sent_at = clock()
+        self.peer: str | None = None  # its node, once identified
+        self.state = ConnectionState.CONNECTING
+        self.close_reason = "closed"
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        self.transport = transport
-        self.last_heard = self.clock()
-        self.opened(self)
+        self.transport, self.state = transport, ConnectionState.OPEN
+        self.last_received_at = self.clock()
+        self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        self.last_heard = self.clock()
+        self.last_received_at = self.clock()
         messages = self.decoder.feed(data)
         if isinstance(messages, Failure):
             return self.close(messages.reason)
-        for message in messages:
+        for fields in messages:
             if self.transport is None:
                 return
-            if message.get("t") != "beat":
-                self.heard(self, message)
+            if kind_of(fields) != Heartbeat.kind:
+                self.on_message(self, fields)
 
     def connection_lost(self, error: Exception | None) -> None:
         if self.transport is not None:
-            self.transport = None
-            self.ended(self)
+            self.transport, self.state = None, ConnectionState.CLOSED
+            self.on_close(self)
 
-    def send(self, message: dict[str, Any]) -> None:
+    def identify(self, peer: str) -> None:
+        """The peer has said which node it is."""
+        self.peer = peer
+        if self.state is ConnectionState.OPEN:
+            self.state = ConnectionState.IDENTIFIED
+
+    def send(self, fields: Fields) -> None:
+        """Without effect on a closed connection; a message that is too large is logged and left out."""
         if self.transport is None:
             return
         if self.transport.get_write_buffer_size() > WRITE_BUFFER_LIMIT_BYTES:
             return self.close("reads too slowly")
-        data = encode(message)
+        data = encode(fields)
         if isinstance(data, Failure):
             return log_event("message_too_large", peer=self.peer, why=data.reason)
-        self.last_sent = self.clock()
+        self.last_sent_at = self.clock()
         self.transport.write(data)
 
-    def beat(self, slept: float) -> None:
-        """Now and then; `slept`: how long this process itself stood still, which says nothing of the peer."""
+    def check_liveness(self, paused_s: float) -> None:
+        """To be called regularly: closes a silent connection, sends a heartbeat on an idle one.
+
+        `paused_s`: seconds since the last call for which this process itself did not run, which says nothing
+        about the peer.
+        """
         now = self.clock()
-        self.last_heard += slept
-        if now - self.last_heard > SILENCE_TIMEOUT_S:
+        self.last_received_at += paused_s
+        if now - self.last_received_at > SILENCE_TIMEOUT_S:
             self.close("silent")
-        elif now - self.last_sent >= HEARTBEAT_INTERVAL_S:
-            self.send({"t": "beat"})
+        elif now - self.last_sent_at >= HEARTBEAT_INTERVAL_S:
+            self.send(HEARTBEAT_FIELDS)
 
-    def close(self, why: str) -> None:
+    def close(self, reason: str) -> None:
+        """At once; what is not yet written is dropped."""
         if (transport := self.transport) is not None:
-            self.why, self.transport = why, None
+            self.close_reason = reason
+            self.transport, self.state = None, ConnectionState.CLOSED  # first: abort may call back
             transport.abort()
-            self.ended(self)
+            self.on_close(self)
--- a/tests/mesh/gossip/test_connection_manager.py
+++ b/tests/mesh/gossip/test_connection_manager.py
@@ -5,16 +5,16 @@
 import testtools
 
 from foxspread.mesh.gossip.connection_manager import (
-    CALL_S,
-    CALLS_MOST,
-    FORGET_S,
-    LINKS_MOST,
-    OTHERS_MOST,
-    PAUSE_MOST_KEEPERS_S,
-    PAUSE_MOST_REST_S,
-    PAUSE_MOST_S,
-    SIDES_AFTER_S,
-    SIDES_MOST,
+    DIAL_TIMEOUT_S,
+    MAX_CONCURRENT_DIALS,
+    FORGET_UNREACHABLE_AFTER_S,
+    MAX_SIDECAR_CONNECTIONS,
+    MAX_UNCONFIRMED_ADDRESSES,
+    MAX_BACKOFF_REPLICAS_S,
+    MAX_BACKOFF_UNCONFIRMED_S,
+    MAX_BACKOFF_SIDECARS_S,
+    FALLBACK_AFTER_S,
+    MAX_FALLBACK_NEIGHBOURS,
     ConnectionManager,
     NeighbourFallback,
 )
@@ -25,32 +25,32 @@
 
 
 class Play:
-    """Calls to `live` come up, to `refuse` are refused, all others are silent, for `CALL_S`."""
+    """Calls to `live` come up, to `refuse` are refused, all others are silent, for `DIAL_TIMEOUT_S`."""
 
     def __init__(self, has_storage=False, own=at(200), seeds=(), members=(), live=(), refuse=(), seed=1):
         self.now, self.live, self.refuse, self.made = 0.0, set(live), set(refuse), []
         self.silent, self.most_at_once = [], 0
         self.cut = set()  # whose contact with a majority is lost
         self.connection_manager = ConnectionManager(0.0, own, has_storage, seeds, random.Random(seed).random)
-        self.connection_manager.agreed(0.0, members)
+        self.connection_manager.set_members(0.0, members)
 
     def step(self, seconds=0.1, times=1):
         for _ in range(times):
             self.now += seconds
-            for at, place in [each for each in self.silent if self.now >= each[0] + CALL_S]:
+            for at, place in [each for each in self.silent if self.now >= each[0] + DIAL_TIMEOUT_S]:
                 self.silent.remove((at, place))
-                self.connection_manager.vain(self.now, place, False)
-            for place in self.connection_manager.calls(self.now):
+                self.connection_manager.dial_failed(self.now, place, False)
+            for place in self.connection_manager.addresses_to_dial(self.now):
                 self.made.append((self.now, place))
                 if place in self.live:
-                    self.connection_manager.up(self.now, place, str(place), place not in self.cut)
+                    self.connection_manager.connected(self.now, place, str(place), place not in self.cut)
                 elif place in self.refuse:
-                    self.connection_manager.vain(self.now, place, True)
+                    self.connection_manager.dial_failed(self.now, place, True)
                 else:
                     self.silent.append((self.now, place))
             self.most_at_once = max(self.most_at_once, len(self.silent))
-            for name in self.connection_manager.surplus(self.now):
-                self.connection_manager.down(self.now, name)
+            for name in self.connection_manager.connections_to_close(self.now):
+                self.connection_manager.disconnected(self.now, name)
 
     def calls_of(self, place):
         return [now for now, each in self.made if each == place]
@@ -63,49 +63,51 @@
         for seed in range(20):
             play = Play(seeds=dead, live=[at(8), at(9)], refuse=dead[:4], seed=seed)
             play.step(times=20)
-            play.connection_manager.told(play.now, at(8))
-            play.connection_manager.told(play.now, at(9))
+            play.connection_manager.add_address(play.now, at(8))
+            play.connection_manager.add_address(play.now, at(9))
             play.step(times=5)
-            self.assertEqual({at(8), at(9)}, set(play.connection_manager.live))
+            self.assertEqual({at(8), at(9)}, set(play.connection_manager.connected_addresses))
             # Nor must many that say nothing, each for the time of a call.
             play = Play(live=[at(8), at(9)], seed=seed)
             for number in range(20, 60):
-                play.connection_manager.told(0.0, at(number))
+                play.connection_manager.add_address(0.0, at(number))
             play.step(times=80)
-            play.connection_manager.told(play.now, at(8))
-            play.connection_manager.told(play.now, at(9))
-            play.step(times=int(CALL_S / 0.1) + 1)
-            self.assertEqual({at(8), at(9)}, set(play.connection_manager.live))
+            play.connection_manager.add_address(play.now, at(8))
+            play.connection_manager.add_address(play.now, at(9))
+            play.step(times=int(DIAL_TIMEOUT_S / 0.1) + 1)
+            self.assertEqual({at(8), at(9)}, set(play.connection_manager.connected_addresses))
 
     def test_a_sidecar_keeps_a_few_and_the_fleet_is_spread(self):
         places, counts = [at(n) for n in range(1, 23)], {}
         for seed in range(60):
             play = Play(seeds=places[:3], live=places, seed=seed)
             for each in places:
-                play.connection_manager.told(0.0, each)
+                play.connection_manager.add_address(0.0, each)
             play.step(times=30)
-            self.assertEqual(LINKS_MOST, len(play.connection_manager.live))
-            for each in play.connection_manager.live:
+            self.assertEqual(MAX_SIDECAR_CONNECTIONS, len(play.connection_manager.connected_addresses))
+            for each in play.connection_manager.connected_addresses:
                 counts[each] = counts.get(each, 0) + 1
         self.assertEqual(22, len(counts))
-        self.assertTrue(max(counts.values()) < 60 * LINKS_MOST / 22 * 2.2, counts)
+        self.assertTrue(max(counts.values()) < 60 * MAX_SIDECAR_CONNECTIONS / 22 * 2.2, counts)
 
     def test_agreed_members_come_before_others(self):
         # Guards: links to five that do not vote must not keep a sidecar from those that do.
         others, members = [at(n) for n in range(1, 6)], [at(n) for n in range(11, 14)]
         play = Play(seeds=others, live=[*others, *members])
         play.step(times=5)
-        self.assertEqual(set(others), set(play.connection_manager.live))
-        play.connection_manager.agreed(play.now, members)
+        self.assertEqual(set(others), set(play.connection_manager.connected_addresses))
+        play.connection_manager.set_members(play.now, members)
         play.step(times=100)
-        self.assertTrue(set(members) <= set(play.connection_manager.live))
-        self.assertEqual(LINKS_MOST, len(play.connection_manager.live))
-        before = set(play.connection_manager.live)
+        self.assertTrue(set(members) <= set(play.connection_manager.connected_addresses))
+        self.assertEqual(MAX_SIDECAR_CONNECTIONS, len(play.connection_manager.connected_addresses))
+        before = set(play.connection_manager.connected_addresses)
         play.step(times=100)
-        self.assertEqual(before, set(play.connection_manager.live))  # and then nothing changes any more
-        for each in play.connection_manager.live:
-            play.connection_manager.contact(str(each), each != members[0])
-        self.assertEqual(4, len(play.connection_manager.in_quorum_contact()))
+        self.assertEqual(
+            before, set(play.connection_manager.connected_addresses)
+        )  # and then nothing changes any more
+        for each in play.connection_manager.connected_addresses:
+            play.connection_manager.set_quorum_contact(str(each), each != members[0])
+        self.assertEqual(4, len(play.connection_manager.replicas_in_contact()))
 
     def test_with_none_in_contact_others_are_tried_ever_more_rarely(self):
         # Guards: five links, all to keepers that are cut off, must not keep a sidecar from one that is not;
@@ -114,11 +116,12 @@
         for cut in (places[:10], places):
             play = Play(seeds=places[:3], members=places[:5], live=places)
             for each in places:
-                play.connection_manager.told(0.0, each)
+                play.connection_manager.add_address(0.0, each)
             play.cut = set(cut)
             play.step(times=2000)
             self.assertEqual(
-                [str(each) for each in places if each not in cut], play.connection_manager.in_quorum_contact()
+                [str(each) for each in places if each not in cut],
+                play.connection_manager.replicas_in_contact(),
             )
             late = [now for now, _ in play.made if now > 100.0]
             self.assertTrue(len(late) <= 4, late)
@@ -126,16 +129,16 @@
     def test_calls_in_vain_come_ever_more_rarely_with_a_cap_and_jitter(self):
         seed, other = at(1), at(2)
         play = Play(seeds=[seed], refuse=[seed])
-        play.connection_manager.told(0.0, other)
-        play.step(times=int(0.9 * FORGET_S / 0.1))
-        for place, most, few in ((seed, PAUSE_MOST_S, 30), (other, PAUSE_MOST_REST_S, 18)):
+        play.connection_manager.add_address(0.0, other)
+        play.step(times=int(0.9 * FORGET_UNREACHABLE_AFTER_S / 0.1))
+        for place, most, few in ((seed, MAX_BACKOFF_SIDECARS_S, 30), (other, MAX_BACKOFF_UNCONFIRMED_S, 18)):
             times = play.calls_of(place)
             pauses = [b - a for a, b in zip(times, times[1:])]
             self.assertTrue(len(times) < few, (place, len(times)))
-            self.assertTrue(max(pauses) <= CALL_S + 1.5 * most + 0.21, (place, max(pauses)))
+            self.assertTrue(max(pauses) <= DIAL_TIMEOUT_S + 1.5 * most + 0.21, (place, max(pauses)))
             self.assertTrue(len({round(each, 1) for each in pauses[-5:]}) > 1, pauses)
         # One that is back is reached within the longest pause, by keepers sooner than by sidecars.
-        for has_storage, most in ((False, PAUSE_MOST_S), (True, PAUSE_MOST_KEEPERS_S)):
+        for has_storage, most in ((False, MAX_BACKOFF_SIDECARS_S), (True, MAX_BACKOFF_REPLICAS_S)):
             play = Play(has_storage, at(0), seeds=[seed])
             play.step(times=200)
             play.live.add(seed)
@@ -143,19 +146,21 @@
             play.step(times=40)
             called = [t for t in play.calls_of(seed) if t > back]
             self.assertEqual(1, len(called))
-            self.assertTrue(called[0] <= back + CALL_S + 1.5 * most + 0.11, (has_storage, called[0] - back))
+            self.assertTrue(
+                called[0] <= back + DIAL_TIMEOUT_S + 1.5 * most + 0.11, (has_storage, called[0] - back)
+            )
 
     def test_whoever_does_not_answer_is_forgotten_but_seeds_and_members_are_not(self):
         play = Play(seeds=[at(1)], members=[at(2)])
-        for number in range(3, 3 + 2 * OTHERS_MOST):
-            play.connection_manager.told(0.0, at(number))
-        self.assertEqual(2 + OTHERS_MOST, len(play.connection_manager.of))
-        play.step(times=int(2 * FORGET_S / 0.1))
-        self.assertEqual({at(1), at(2)}, set(play.connection_manager.of))
-        self.assertTrue(play.most_at_once <= CALLS_MOST)
+        for number in range(3, 3 + 2 * MAX_UNCONFIRMED_ADDRESSES):
+            play.connection_manager.add_address(0.0, at(number))
+        self.assertEqual(2 + MAX_UNCONFIRMED_ADDRESSES, len(play.connection_manager.addresses))
+        play.step(times=int(2 * FORGET_UNREACHABLE_AFTER_S / 0.1))
+        self.assertEqual({at(1), at(2)}, set(play.connection_manager.addresses))
+        self.assertTrue(play.most_at_once <= MAX_CONCURRENT_DIALS)
         play = Play(True, seeds=[at(n) for n in range(1, 23)])
         play.step(times=100)
-        self.assertEqual(CALLS_MOST, play.most_at_once)
+        self.assertEqual(MAX_CONCURRENT_DIALS, play.most_at_once)
 
     def test_every_two_keepers_come_to_a_link(self):
         # Guards: of two seeds the lower calls, one beyond the seeds calls them all; where only the higher of
@@ -170,15 +175,15 @@
         self.assertEqual({at(1), at(2)}, {place for _, place in play.made})
         play = Play(True, at(9), seeds, live=[at(n) for n in range(1, 23)])
         for number in range(1, 23):
-            play.connection_manager.told(0.0, at(number))
+            play.connection_manager.add_address(0.0, at(number))
         play.step(times=30)
-        self.assertEqual(21, len(play.connection_manager.live))
+        self.assertEqual(21, len(play.connection_manager.connected_addresses))
 
     def test_neighbours_are_leant_on_only_where_no_keeper_is_in_contact(self):
-        leaning = NeighbourFallback(0.0)
-        self.assertEqual(0, leaning.wanted(SIDES_AFTER_S, 0, 0))
-        self.assertEqual(SIDES_MOST, leaning.wanted(SIDES_AFTER_S + 0.1, 0, 0))
-        self.assertEqual(SIDES_MOST - 1, leaning.wanted(SIDES_AFTER_S + 0.1, 0, 1))
-        self.assertEqual(0, leaning.wanted(2.0, 1, 0))
-        self.assertEqual(0, leaning.wanted(3.0, 0, 0))
-        self.assertEqual(SIDES_MOST, leaning.wanted(3.1 + SIDES_AFTER_S, 0, 0))
+        fallback = NeighbourFallback(0.0, lambda: 0.0)
+        self.assertEqual(0, fallback.missing(FALLBACK_AFTER_S, 0, 0))
+        self.assertEqual(MAX_FALLBACK_NEIGHBOURS, fallback.missing(FALLBACK_AFTER_S + 0.1, 0, 0))
+        self.assertEqual(MAX_FALLBACK_NEIGHBOURS - 1, fallback.missing(FALLBACK_AFTER_S + 0.1, 0, 1))
+        self.assertEqual(0, fallback.missing(2.0, 1, 0))
+        self.assertEqual(0, fallback.missing(3.0, 0, 0))
+        self.assertEqual(MAX_FALLBACK_NEIGHBOURS, fallback.missing(3.1 + FALLBACK_AFTER_S, 0, 0))
--- a/tests/mesh/gossip/test_partial_view.py
+++ b/tests/mesh/gossip/test_partial_view.py
@@ -2,7 +2,8 @@
 
 import testtools
 
-from foxspread.mesh.gossip.partial_view import OLD, SIZE, Neighbour, PartialView
+from foxspread.mesh.gossip.partial_view import MAX_AGE_SHUFFLES, MAX_ENTRIES, Neighbour, PartialView
+from foxspread.mesh.transport.messages import ShuffleResponse
 from foxspread.sums import Chance
 
 
@@ -13,17 +14,19 @@
         self.chance, self.lost, self.now = Chance(7), lost, 0.0
         self.views = {}
         for number in range(count):
-            me = Neighbour(f"n{number}", ("10.0.0.1", number), number < 3)
-            self.views[me.place] = PartialView(me, self.chance.draw)
+            own = Neighbour(f"n{number}", ("10.0.0.1", number), number < 3)
+            self.views[own.address] = PartialView(own, self.chance.draw)
         for view in self.views.values():
             for seed in list(self.views.values())[:3]:
-                view.met(seed.me)
+                view.refresh(seed.own)
 
     def send(self, place, message):
         there = self.views.get(place)
         if there is not None and self.chance.draw() >= self.lost:
-            if (answer := there.heard(message)) is not None:
-                self.send(tuple(message["view"][0][1]), answer)
+            if isinstance(message, ShuffleResponse):
+                there.receive_response(message)
+            else:
+                self.send(message.neighbours[0].address, there.receive_request(message))
 
     def rounds(self, count):
         for _ in range(count):
@@ -38,7 +41,7 @@
         while todo:
             if (place := todo.pop()) not in seen and place in self.views:
                 seen.add(place)
-                todo += [each.place for each in self.views[place].of.values()]
+                todo += [each.address for each in self.views[place].entries.values()]
         return len(seen)
 
 
@@ -50,36 +53,38 @@
         fleet.rounds(40)
         self.assertEqual(60, fleet.reached())
         for view in fleet.views.values():
-            self.assertTrue(3 <= len(view.of) <= SIZE, len(view.of))
-            self.assertNotIn(view.me.node, view.of)
-        known = [sum(v.me.node in other.of for other in fleet.views.values()) for v in fleet.views.values()]
+            self.assertTrue(3 <= len(view.entries) <= MAX_ENTRIES, len(view.entries))
+            self.assertNotIn(view.own.node, view.entries)
+        known = [
+            sum(v.own.node in other.entries for other in fleet.views.values()) for v in fleet.views.values()
+        ]
         self.assertTrue(max(known) < 30, max(known))  # the seeds do not stay in all views
 
-    def test_the_gone_fall_out_and_the_rest_stays_connected(self):
+    def test_processes_that_are_gone_fall_out_and_the_rest_stays_connected(self):
         # Guards: a third that is gone, seeds among them, must not fill views for ever, nor split the rest.
         fleet = Fleet(45)
         fleet.rounds(30)
         for place in list(fleet.views)[:15]:
             del fleet.views[place]
-        fleet.rounds(OLD + SIZE + 10)
-        left = {view.me.node for view in fleet.views.values()}
+        fleet.rounds(MAX_AGE_SHUFFLES + MAX_ENTRIES + 10)
+        left = {view.own.node for view in fleet.views.values()}
         for view in fleet.views.values():
-            self.assertEqual(set(), view.of.keys() - left)
+            self.assertEqual(set(), view.entries.keys() - left)
         self.assertEqual(30, fleet.reached())
 
-    def test_the_younger_word_holds(self):
-        # Guards: an old word on a neighbour must not bring back the address that it had before it moved.
+    def test_of_two_entries_on_a_process_the_younger_is_kept(self):
+        # Guards: an old entry on a neighbour must not bring back the address that it had before it moved.
         for ages in ((5, 2), (2, 5)):
             view = PartialView(Neighbour("me", ("a", 1), False), lambda: 0.5)
             for age in ages:
-                row = ["n", ["a", 10 + age], False, age]
-                view.heard({"t": "shuffled", "node": "x", "view": [row]})
-            self.assertEqual(("a", 12), view.of["n"].place)
+                entry = Neighbour("n", ("a", 10 + age), False, age)
+                view.receive_response(ShuffleResponse("x", (entry,)))
+            self.assertEqual(("a", 12), view.entries["n"].address)
 
-    def test_nobody_to_ask(self):
+    def test_no_shuffle_before_its_time_or_without_a_neighbour(self):
         view = PartialView(Neighbour("me", ("a", 1), False), lambda: 0.5)
         self.assertIsNone(view.shuffle(0.0))
-        view.met(Neighbour("core", ("b", 1), True))
-        self.assertEqual([], view.some_sides(2))
+        view.refresh(Neighbour("core", ("b", 1), True))
+        self.assertEqual([], view.sample_sidecars(2))
         self.assertIsNone(view.shuffle(0.1))  # before its time
         self.assertEqual(("b", 1), view.shuffle(9.0)[0])
--- /dev/null
+++ b/tests/mesh/test_shutdown.py
@@ -0,0 +1,106 @@
+"""The phases of a shutdown and their times, in virtual time."""
+
+import testtools
+
+from foxspread.mesh.shutdown import (
+    ANNOUNCED_S,
+    RESERVED_FOR_DRAINING_S,
+    RESERVED_FOR_EXIT_S,
+    RETIRING_REPLICA_S,
+    Phase,
+    Shutdown,
+)
+
+GRACE_S = 10.0
+
+
+class Endpoints:
+    def __init__(self) -> None:
+        self.actions, self.in_progress = [], False
+
+    def retire(self) -> None:
+        self.actions.append("retire")
+
+    def close_listeners(self) -> None:
+        self.actions.append("close_listeners")
+
+    def has_requests_in_progress(self) -> bool:
+        return self.in_progress
+
+
+class Play:
+    """Advances a shutdown in virtual time; notes when which phase is entered."""
+
+    def __init__(
+        self, is_sidecar=True, alternatives=lambda now: True, leaves=lambda now: True, grace_s=GRACE_S
+    ):
+        self.now, self.endpoints, self.entered = 100.0, Endpoints(), []
+        self.shutdown = Shutdown(
+            self.now,
+            grace_s,
+            is_sidecar,
+            self.endpoints,
+            lambda now, up_for_s: alternatives(now - 100.0),
+            lambda now: leaves(now - 100.0),
+        )
+
+    def run(self, busy_until: float = 0.0) -> float:
+        while True:
+            self.endpoints.in_progress = self.now - 100.0 < busy_until
+            wait_s = self.shutdown.advance(self.now)
+            if not self.entered or self.entered[-1][1] is not self.shutdown.phase:
+                self.entered.append((round(self.now - 100.0, 3), self.shutdown.phase))
+            if wait_s is None:
+                return self.shutdown.elapsed(self.now)
+            self.now += wait_s
+
+
+class Sidecar(testtools.TestCase):
+    def test_it_is_announced_first_and_listeners_close_after_answers_did(self):
+        play = Play()
+        self.assertAlmostEqual(ANNOUNCED_S + 0.1, play.run())
+        self.assertEqual(["retire", "close_listeners"], play.endpoints.actions)
+        self.assertEqual([(0.0, Phase.ANNOUNCED), (2.3, Phase.RETIRING), (2.4, Phase.ENDED)], play.entered)
+
+    def test_a_short_grace_period_shortens_the_announcement(self):
+        play = Play(grace_s=3.0)
+        play.run()
+        self.assertEqual((1.2, Phase.RETIRING), play.entered[1])
+
+    def test_it_waits_for_other_sidecars_until_the_time_for_draining_begins(self):
+        play = Play(alternatives=lambda elapsed: elapsed >= 5.0)
+        play.run()
+        self.assertEqual((2.3, Phase.AWAITING_PEERS), play.entered[1])
+        self.assertEqual(Phase.RETIRING, play.entered[2][1])
+        self.assertTrue(5.0 <= play.entered[2][0] <= 5.11, play.entered)
+        play = Play(alternatives=lambda elapsed: False)
+        play.run()
+        self.assertAlmostEqual(GRACE_S - RESERVED_FOR_DRAINING_S, play.entered[2][0], delta=0.11)
+
+    def test_requests_in_progress_are_waited_for_until_shortly_before_the_kill(self):
+        self.assertAlmostEqual(4.0, Play().run(busy_until=4.0), delta=0.03)
+        play = Play()
+        self.assertAlmostEqual(GRACE_S - RESERVED_FOR_EXIT_S, play.run(busy_until=99.0), delta=0.03)
+        self.assertEqual(Phase.DRAINING, play.entered[-2][1])
+
+
+class Replica(testtools.TestCase):
+    def test_a_process_without_callers_retires_at_once(self):
+        play = Play(is_sidecar=False, alternatives=lambda elapsed: self.fail("it has no callers"))
+        self.assertAlmostEqual(RETIRING_REPLICA_S, play.run())
+        self.assertEqual([(0.0, Phase.RETIRING), (0.3, Phase.ENDED)], play.entered)
+
+    def test_nothing_is_retired_before_the_membership_does_without_it(self):
+        # Also beyond the grace period: a member that leaves unasked may cost the quorum.
+        play = Play(is_sidecar=False, leaves=lambda elapsed: elapsed >= GRACE_S + 2.0)
+        while play.shutdown.phase is Phase.LEAVING_MEMBERSHIP and play.now < 100.0 + GRACE_S + 1.0:
+            play.now += play.shutdown.advance(play.now)
+        self.assertEqual([], play.endpoints.actions)
+        play.run()
+        self.assertEqual(["retire", "close_listeners"], play.endpoints.actions)
+
+    def test_no_action_is_repeated_after_its_end(self):
+        play = Play(is_sidecar=False)
+        play.run()
+        self.assertIsNone(play.shutdown.advance(play.now + 1.0))
+        self.assertEqual(["retire", "close_listeners"], play.endpoints.actions)
--- /dev/null
+++ b/tests/mesh/test_state_sync.py
@@ -0,0 +1,219 @@
+"""What a process tells of the committed set, what makes it ready, which record it publishes of itself."""
+
+from types import SimpleNamespace
+
+import testtools
+
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, SERVICE, Item
+from foxspread.mesh.control_api.readiness import Readiness
+from foxspread.mesh.registry.own_record import OwnRecord
+from foxspread.mesh.replica_contact import ReplicaContact
+from foxspread.mesh.replication.learner import START, Learner, pack_offset, pack_row
+from foxspread.mesh.replication.membership import MemberSet
+from foxspread.mesh.replication.quorum_contact import TELL_S, QuorumContact, Report
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
+from foxspread.mesh.state_sync import StateSync
+from foxspread.mesh.transport.messages import COMMITTED_SET, MalformedMessageError, Pull
+
+PULL = Pull({COMMITTED_SET: []}, 7.0)
+
+
+class Process:
+    """A `StateSync` in virtual time, and what it sends."""
+
+    def __init__(self, name: str = "n1", replicas: tuple[str, ...] = ()) -> None:
+        self.now, self.sent, self.scheduled, self.committed = 1000.0, [], [], []
+        self.sync = StateSync(
+            lambda: self.now,
+            OwnRecord(name, None, 1_000_000),
+            SnapshotTransfer(Learner(), lambda: 0.5),
+            lambda peer, fields: self.sent.append((peer, fields)),
+            self.scheduled.append,
+            lambda peer: peer in replicas,
+            self.committed.extend,
+            lambda node: None,
+            self.publish,
+            Readiness(),
+        )
+
+    def publish(self) -> None:
+        self.sync.take_record(self.sync.own_record.next("valley", []))
+
+    def receive(self, peer: str, fields: dict) -> list[dict]:
+        """What it answers that peer."""
+        self.sent.clear()
+        self.sync.handlers[fields["t"]](peer, fields)
+        return [answer for to, answer in self.sent if to == peer]
+
+
+class WhoIsToldOfTheCommittedSet(testtools.TestCase):
+    def test_a_replica_out_of_contact_tells_sidecars_nothing_of_the_committed_set(self) -> None:
+        """At each answer, also right after a freeze; other replicas are told always."""
+        process = Process("core", replicas=("k2",))
+        sync = process.sync
+        members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
+        acceptor = SimpleNamespace(known=True, learner=sync.learner)
+        server = SimpleNamespace(acceptor=acceptor, members=members, fresh=True)
+        quorum_contact = QuorumContact(members.of[0])
+        sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None)
+        past = (0, ((1, "d"),))
+        rows = [Item(SERVICE, "s", 2, {"name": "s"}, past), Item(LEASE, MEMBERS, 1, {"holder": "m2"})]
+        sync.learner.fold((4, "l"), [(each, (4, "l")) for each in rows])
+
+        def chunks(peer: str) -> list[dict]:
+            return process.receive(peer, {"t": "piece", "n": 1, "after": pack_offset(START)})
+
+        def outcome(peer: str) -> tuple[bool, bool, int]:
+            count = sum(len(each["rows"]) for each in chunks(peer))
+            self.assertEqual(bool(count), "upto" in sync.answer_pull(peer, PULL).packed())
+            return sync.may_announce(peer, COMMITTED_SET), sync.ready(), count
+
+        self.assertEqual((False, False, 0), outcome("side"))
+        self.assertEqual((True, False, 2), outcome("k2"))
+        asking = quorum_contact.ask(process.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
+        quorum_contact.heard(
+            process.now, "m2", QuorumContact.answer(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
+        )
+        process.now += 1.0
+        self.assertEqual((True, True, 1), outcome("side"))
+        news = sync.answer_pull("side", PULL).packed()
+        self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
+        self.assertEqual([pack_row(rows[0].bare, (4, "l"))], chunks("side")[0]["rows"])
+        acceptor.known = False  # its disk came back empty: members are known from seeds only
+        self.assertEqual((False, False, 0), outcome("side"))
+        acceptor.known = True
+        process.now += TELL_S  # it was frozen: nothing has reported it so yet
+        self.assertEqual((False, False, 0), outcome("side"))
+        self.assertEqual((True, False, 2), outcome("k2"))
+
+    def test_sidecars_announce_their_own_record_to_replicas_and_all_to_each_other(self) -> None:
+        sync = Process("side", replicas=("k2",)).sync
+        announced = {
+            (peer, source): sync.may_announce(peer, source)
+            for peer in ("k2", "other")
+            for source in ("side", "third", COMMITTED_SET)
+        }
+        self.assertEqual(
+            {("k2", "third"), ("k2", COMMITTED_SET)}, {each for each, told in announced.items() if not told}
+        )
+
+
+class ReadinessBasis(testtools.TestCase):
+    """Old rows are taken and make nobody ready; nor does what a partition held up."""
+
+    item = Item(SERVICE, "s", 2, {"name": "s"})
+    have = {"t": "have", "v": {COMMITTED_SET: [4, "l"]}}
+
+    def pull_all(self, process: Process, peer: str, at: float, age: float | None) -> list[str]:
+        """Asked for at that time, it comes now; returns whom the process asked."""
+        there = Learner()
+        there.fold((4, "l"), [(self.item, (4, "l"))])
+        process.now = at
+        process.receive(peer, self.have)
+        requests = process.sync.snapshot_transfer.step(at)
+        process.now = 1000.0
+        for name, message in requests:
+            process.receive(name, SnapshotTransfer.answer(there, message, age, False))
+        return [name for name, _ in requests]
+
+    def test_rows_make_ready_only_if_they_were_young_when_asked_for(self) -> None:
+        for at, age, ready in (
+            (1000.0, None, False),
+            (1000.0, 9.0, False),
+            (980.0, 0.1, False),
+            (999.9, 0.2, True),
+        ):
+            process = Process()
+            process.receive("x", {"t": "news", "at": at, "records": []})
+            self.assertEqual(["x"], self.pull_all(process, "x", at, age))
+            items = {self.item.key: self.item}
+            self.assertEqual((ready, items), (process.sync.ready(), process.sync.learner.items), (at, age))
+
+    def test_news_of_the_age_makes_ready_and_an_older_one_later_does_not_undo_it(self) -> None:
+        process = Process()
+        self.pull_all(process, "x", 1000.0, None)
+        news = {"t": "news", "upto": [4, "l"], "records": []}
+        for at, age, ready in (
+            (1000.0, None, False),
+            (1000.0, 9.0, False),
+            (980.0, 0.1, False),
+            (999.9, 0.2, True),
+            (980.0, 20.0, True),
+        ):
+            process.receive("x", {**news, "at": at, "age": age})
+            self.assertEqual(ready, process.sync.ready(), (at, age))
+
+    def test_a_replica_takes_no_rows_from_a_sidecar(self) -> None:
+        """One that holds but a part of each item."""
+        process, learnt = Process("core", replicas=("k2",)), []
+        process.sync.replica = SimpleNamespace(
+            learn=lambda *rows: learnt.append(rows),
+            peer_committed=lambda number: None,
+            recovered=True,
+            in_contact=lambda: False,
+        )
+        self.assertEqual([], self.pull_all(process, "side", 1000.0, 0.1))
+        self.assertEqual((["k2"], 1), (self.pull_all(process, "k2", 1000.0, None), len(learnt)))
+
+    def test_a_process_is_not_ready_before_a_peer_answered_with_records(self) -> None:
+        process = Process()
+        self.pull_all(process, "x", 999.9, 0.2)
+        self.assertFalse(process.sync.ready())
+        process.receive("x", {"t": "news", "at": 999.9})
+        self.assertFalse(process.sync.ready())
+        process.receive("x", {"t": "news", "at": 999.9, "records": []})
+        self.assertTrue(process.sync.ready())
+
+
+class OwnRecordOfAnEarlierIncarnation(testtools.TestCase):
+    def test_a_record_outlives_a_clock_that_was_set_back(self) -> None:
+        """What others hold of an earlier incarnation is superseded, also where both began at one moment."""
+        process = Process("n-127.0.0.9")
+        sync, own = process.sync, process.sync.own_record
+        process.publish()
+        for version in ([own.incarnation + 10**12, 3], [own.incarnation + 10**12, 9]):
+            process.receive("x", {"t": "have", "v": {own.node: version}})
+            self.assertTrue(own.version > tuple(version))
+            self.assertEqual(own.version, sync.records.of[own.node].version)
+        version = own.incarnation, own.number + 4
+        process.receive("x", {"t": "have", "v": {own.node: list(version)}})
+        self.assertTrue(sync.records.of[own.node].version > version)
+        before = sync.records.of[own.node].version
+        process.receive("x", {"t": "have", "v": {own.node: list(before)}})
+        self.assertEqual(before, sync.records.of[own.node].version)
+
+
+class Sending(testtools.TestCase):
+    def test_what_changes_in_one_turn_of_the_loop_is_announced_once(self) -> None:
+        process = Process()
+        process.sync.peer_connected("x")
+        self.assertEqual([("x", {"t": "have", "v": {}})], process.sent)
+        process.publish()
+        process.publish()
+        self.assertEqual(1, len(process.scheduled))
+        process.sent.clear()
+        process.scheduled[0]()
+        self.assertEqual([("x", {"t": "have", "v": {"n1": (1_000_000, 2)}})], process.sent)
+
+    def test_a_record_that_a_peer_has_newer_is_pulled_and_taken(self) -> None:
+        process, other = Process("n1"), Process("n2")
+        other.publish()
+        process.sync.peer_connected("n2")
+        process.receive("n2", {"t": "have", "v": {"n2": [1_000_000, 1]}})
+        process.sync.flush()
+        pull = process.sent[-1][1]
+        self.assertEqual({"t": "pull", "v": {"n2": ()}, "at": 1000.0}, pull)
+        news = other.sync.answer_pull("n1", Pull.decode(pull)).packed()
+        process.receive("n2", news)
+        self.assertEqual((1_000_000, 1), process.sync.records.of["n2"].version)
+
+    def test_a_malformed_message_changes_nothing(self) -> None:
+        process = Process()
+        for fields in (
+            {"t": "have"},
+            {"t": "have", "v": [1]},
+            {"t": "pull", "v": {}},
+            {"t": "news", "upto": 1},
+        ):
+            self.assertRaises(MalformedMessageError, process.receive, "x", fields)
+        self.assertEqual(([], {}), (process.sent, process.sync.anti_entropy.versions))
--- /dev/null
+++ b/tests/mesh/transport/test_messages.py
@@ -0,0 +1,88 @@
+"""Message types: their bytes do not change, and what is malformed is refused in one way."""
+
+import testtools
+
+from foxspread.mesh.transport.messages import (
+    CONNECTION_MESSAGES,
+    Have,
+    Heartbeat,
+    Hello,
+    MalformedMessageError,
+    Neighbour,
+    News,
+    Pull,
+    QuorumContactChange,
+    ShuffleRequest,
+    ShuffleResponse,
+    decode_shuffle,
+    kind_of,
+)
+from foxspread.mesh.transport.netstrings import Decoder, encode
+
+NEIGHBOUR = Neighbour("n1", ("10.0.0.1", 7660), True, 3)
+BODIES = {  # as every version has sent them
+    b'{"t":"hello","node":"n1","member":"","inner":["10.0.0.1",1],"cores":[],"contact":false}': Hello(
+        "n1", "", ("10.0.0.1", 1), [], False
+    ),
+    b'{"t":"hello","node":"n1","member":"m1","inner":["10.0.0.1",1],"cores":[["10.0.0.2",1]],'
+    b'"contact":true}': Hello("n1", "m1", ("10.0.0.1", 1), [("10.0.0.2", 1)], True),
+    b'{"t":"beat"}': Heartbeat(),
+    b'{"t":"have","v":{"=":[4,"l"],"n":[7,1]}}': Have({"=": (4, "l"), "n": (7, 1)}),
+    b'{"t":"pull","v":{"=":[4,"l"]},"at":1.5}': Pull({"=": [4, "l"]}, 1.5),
+    b'{"t":"news","at":1.5}': News(1.5),
+    b'{"t":"news","at":1.5,"upto":[4,"l"],"age":null}': News(1.5, (4, "l")),
+    b'{"t":"news","at":1.5,"upto":[4,"l"],"age":0.1,"records":[["n",[7,1]]]}': News(
+        1.5, (4, "l"), 0.1, [["n", [7, 1]]]
+    ),
+    b'{"t":"standing","contact":true}': QuorumContactChange(True),
+    b'{"t":"shuffle","node":"n1","view":[["n1",["10.0.0.1",7660],true,3]]}': ShuffleRequest(
+        "n1", (NEIGHBOUR,)
+    ),
+    b'{"t":"shuffled","node":"n1","view":[["n1",["10.0.0.1",7660],true,3]]}': ShuffleResponse(
+        "n1", (NEIGHBOUR,)
+    ),
+}
+
+
+class WireFormat(testtools.TestCase):
+    def test_each_message_has_the_same_bytes_as_ever(self):
+        for data, message in BODIES.items():
+            self.assertEqual(b"%d:%s," % (len(data), data), encode(message.packed()))
+
+    def test_each_message_is_decoded_to_what_was_packed(self):
+        for message in BODIES.values():
+            (fields,) = Decoder().feed(encode(message.packed()))
+            decode = CONNECTION_MESSAGES[fields["t"]].decode if fields["t"] in CONNECTION_MESSAGES else None
+            if isinstance(message, ShuffleRequest):
+                decode = decode_shuffle
+            if decode is not None:
+                self.assertEqual(message, decode(fields))
+
+
+class Malformed(testtools.TestCase):
+    def test_a_field_that_is_missing_or_of_another_shape_is_refused(self):
+        for message_type, fields in (
+            (Hello, {"node": "n"}),
+            (Hello, {"node": "n", "member": "", "inner": 7, "cores": []}),
+            (Have, {"v": 7}),
+            (Have, {"v": {"n": 7}}),
+            (Pull, {"v": {}}),
+            (News, {"upto": [4, "l"]}),
+            (News, {"at": 1.0, "upto": 4, "age": 1.0}),
+            (QuorumContactChange, {}),
+            (ShuffleRequest, {"view": [["n"]]}),
+            (ShuffleResponse, {"view": []}),
+        ):
+            self.assertRaises(MalformedMessageError, message_type.decode, fields)
+
+    def test_a_message_without_a_kind_has_none(self):
+        self.assertEqual([None, None, "x"], [kind_of(each) for each in ({}, {"t": []}, {"t": "x"})])
+        self.assertRaises(MalformedMessageError, decode_shuffle, {"view": []})
+
+    def test_a_datagram_of_another_kind_is_read_as_a_request(self):
+        request = decode_shuffle({"t": "later", "view": [NEIGHBOUR.packed()]})
+        self.assertEqual((ShuffleRequest, (NEIGHBOUR,)), (type(request), request.neighbours))
+
+    def test_a_sidecar_says_nothing_of_quorum_contact(self):
+        fields = {"t": "hello", "node": "n", "member": "", "inner": ["10.0.0.1", 1], "cores": []}
+        self.assertFalse(Hello.decode(fields).in_contact)
--- a/tests/mesh/transport/test_netstrings.py
+++ b/tests/mesh/transport/test_netstrings.py
@@ -5,9 +5,9 @@
 import testtools
 
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.transport.netstrings import MOST, PACKED_FROM, Decoder, encode
+from foxspread.mesh.transport.netstrings import COMPRESS_FROM_BYTES, MAX_MESSAGE_BYTES, Decoder, encode
 
-MESSAGES = [{"t": "beat"}, {"t": "news", "rows": ["x:,{}1:a,"] * 9}, {"v": "ab" * PACKED_FROM}, {}]
+MESSAGES = [{"t": "beat"}, {"t": "news", "rows": ["x:,{}1:a,"] * 9}, {"v": "ab" * COMPRESS_FROM_BYTES}, {}]
 
 
 def netstring(body):
@@ -15,28 +15,28 @@
 
 
 class Decodes(testtools.TestCase):
-    def test_cut_at_every_byte(self):
+    def test_messages_come_out_whole_wherever_the_bytes_are_cut(self):
         # Guards: messages come out whole, once and in order, wherever the bytes are cut.
         data = b"".join(map(encode, MESSAGES))
-        self.assertLess(len(data), 2 * PACKED_FROM)  # the large one is packed
+        self.assertLess(len(data), 2 * COMPRESS_FROM_BYTES)  # the large one is packed
         for cut in range(len(data) + 1):
             decoder = Decoder()
             self.assertEqual(MESSAGES, decoder.feed(data[:cut]) + decoder.feed(data[cut:]))
         decoder = Decoder()
         self.assertEqual(MESSAGES, [each for byte in data for each in decoder.feed(bytes([byte]))])
-        self.assertEqual(b"", decoder.held)
+        self.assertEqual(b"", decoder.buffer)
 
-    def test_what_can_not_be_one(self):
+    def test_bytes_that_cannot_be_a_message_fail_by_the_ninth(self):
         # Guards: garbage, a wrong length and what is too large are failures at once or by the ninth byte,
         # also byte by byte; nothing is held for a length that will never come.
-        bomb = zlib.compress(b'{"a":"%b"}' % (b"a" * MOST), 9)
+        bomb = zlib.compress(b'{"a":"%b"}' % (b"a" * MAX_MESSAGE_BYTES), 9)
         for name, data in {
             "letters": b"GET / HTTP/1.1\r\n",
             "no length": b":{},",
             "a sign": b"-2:{},",
             "a space": b" 2:{},",
             "digits without end": b"1" * 9,
-            "too large": b"%d:" % (MOST + 1),
+            "too large": b"%d:" % (MAX_MESSAGE_BYTES + 1),
             "no comma": b"2:{};",
             "a length too short": b"1:{},",
             "no JSON": netstring(b"{]"),
@@ -52,18 +52,18 @@
                 found = decoder.feed(bytes([byte]))
                 if isinstance(found, Failure):
                     break
-                self.assertLess(len(decoder.held), 2000)
+                self.assertLess(len(decoder.buffer), 2000)
             self.assertTrue(name == "packed, too large" or isinstance(found, Failure), name)
 
-    def test_the_largest_that_is_allowed(self):
-        for size in (0, MOST - 8):
+    def test_the_largest_message_that_is_allowed_passes(self):
+        for size in (0, MAX_MESSAGE_BYTES - 8):
             text = b'{"a":"%b"}' % (b"a" * size)
             self.assertEqual([size], [len(each["a"]) for each in Decoder().feed(netstring(text))])
         packed = zlib.compress(text)
         self.assertEqual(1, len(Decoder().feed(netstring(packed))))
-        most = {"a": "a" * (MOST - 8)}
+        most = {"a": "a" * (MAX_MESSAGE_BYTES - 8)}
         self.assertEqual([most], Decoder().feed(encode(most)))
 
-    def test_nothing_is_sent_that_no_peer_takes(self):
+    def test_a_message_that_no_peer_accepts_is_not_encoded(self):
         # Guards: a call too large for a message is not settled; it costs no links, now or at each new try.
-        self.assertIsInstance(encode({"t": "accept", "delta": "a" * MOST}), Failure)
+        self.assertIsInstance(encode({"t": "accept", "delta": "a" * MAX_MESSAGE_BYTES}), Failure)
--- a/tests/mesh/transport/test_peer_connection.py
+++ b/tests/mesh/transport/test_peer_connection.py
@@ -4,7 +4,7 @@
 
 from foxspread.mesh.configuration.items import SERVICE, Item
 from foxspread.mesh.transport.peer_connection import WRITE_BUFFER_LIMIT_BYTES, PeerConnection
-from foxspread.mesh.transport.netstrings import MOST, Decoder
+from foxspread.mesh.transport.netstrings import MAX_MESSAGE_BYTES, Decoder
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.learner import PIECE_BYTES, Learner
 
@@ -42,12 +42,12 @@
             self.connection.send({"t": "news", "rows": incompressible})
         self.assertEqual(
             (True, "reads too slowly", [self.connection]),
-            (self.transport.aborted, self.connection.why, self.ended),
+            (self.transport.aborted, self.connection.close_reason, self.ended),
         )
         self.assertLess(len(self.transport.held), WRITE_BUFFER_LIMIT_BYTES + 1_000_000)
 
     def test_what_is_too_large_is_not_sent_and_ends_nothing(self):
-        self.connection.send({"t": "accept", "delta": "a" * MOST})
+        self.connection.send({"t": "accept", "delta": "a" * MAX_MESSAGE_BYTES})
         self.connection.send({"t": "beat"})
         self.assertEqual(([{"t": "beat"}], []), (Decoder().feed(self.transport.held), self.ended))
 
