--- a/foxspread/cli/main.py
+++ b/foxspread/cli/main.py
@@ -5,6 +5,7 @@
 """
 
 import sys
+from importlib import import_module
 
 import click
 
@@ -14,9 +15,22 @@
 from foxspread.cli.rules import rules
 
 VERSION = "0.2.0"
+LAZY = {"mesh": "foxspread.mesh.cli"}  # loaded when they are called: they may need extras
 
 
-@click.group(context_settings={"help_option_names": ["-h", "--help"]})
+class Commands(click.Group):
+    """Finds a command of `LAZY` as the attribute of the same name in its module."""
+
+    def list_commands(self, context: click.Context) -> list[str]:
+        return sorted([*super().list_commands(context), *LAZY])
+
+    def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        if name in LAZY:
+            return getattr(import_module(LAZY[name]), name)
+        return super().get_command(context, name)
+
+
+@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(VERSION, prog_name="foxspread")
 def foxspread() -> None:
     """A sidecar balancer for service-to-service calls, and the tools round it.
@@ -26,6 +40,7 @@
     foxspread coordinator run FILE         one of a few that agree on versions of the rules
     foxspread rules put FILE               a new version
     foxspread lab run scenarios/calm.toml  what a scenario does to lookups
+    foxspread mesh up                      a whole mesh on this machine
     """
 
 
--- a/foxspread/mesh/fault_report.py
+++ b/foxspread/mesh/fault_report.py
@@ -20,13 +20,13 @@
         logging.ERROR,
         what=context.get("message", ""),
         error=repr(error),
-        where=innermost_line(error),
+        where=innermost_frame(error),
     )
     if isinstance(error, InvariantViolation):
         os._exit(EXIT_INVARIANT)
 
 
-def innermost_line(error: BaseException | None) -> str:
+def innermost_frame(error: BaseException | None) -> str:
     """FILE:LINE of the innermost line of the mesh that the error passed; empty if there is none."""
     steps = traceback.extract_tb(error.__traceback__) if error is not None else []
     ours = [step for step in steps if "mesh" in step.filename]
--- a/foxspread/mesh/gossip/anti_entropy.py
+++ b/foxspread/mesh/gossip/anti_entropy.py
@@ -98,7 +98,7 @@
             {name: peer.versions[source] for name, peer in self.peers.items() if source in peer.versions},
         )
 
-    def mark_dirty(self, source: str) -> None:
+    def renew_announcement(self, source: str) -> None:
         """To be announced to peers from which it was withheld so far."""
         self.dirty.add(source)
 
--- a/foxspread/mesh/gossip/connection_manager.py
+++ b/foxspread/mesh/gossip/connection_manager.py
@@ -163,10 +163,10 @@
     def addresses_to_dial(self, now: float) -> list[Address]:
         """Whom to dial now; each counts as being dialled until `connected` or `dial_failed`."""
         self._forget_unreachable(now)
-        dialling = sum(state.connecting for state in self.addresses.values())
-        free = MAX_CONCURRENT_DIALS - dialling
+        connecting = sum(state.connecting for state in self.addresses.values())
+        free = MAX_CONCURRENT_DIALS - connecting
         if not self.has_storage:
-            free = min(free, MAX_SIDECAR_CONNECTIONS - len(self.connected_addresses) - dialling)
+            free = min(free, MAX_SIDECAR_CONNECTIONS - len(self.connected_addresses) - connecting)
         due = [address for address in self._ranked() if self._is_due(now, address)][: max(0, free)]
         for address in due:
             self.addresses[address].connecting = True
--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -1,6 +1,6 @@
 """One hollow sidecar: a node as in service, without listeners for requests and without a platform, whose
-server's beats are handed in. What it depends on of `Node`: the constructor, `run`, `table.put`,
-`records.take`, `copy`, `links`, the resource `Instances`.
+server's beats are handed in. What it depends on of `Node`: the constructor, `run`, `reload_settings`,
+`table.put`, `records.take`, `learner`, `links.connections`, `endpoints.desks`.
 """
 
 import asyncio
@@ -83,7 +83,7 @@
         return (
             (0, 0, 0)
             if node is None
-            else (len(node.learner.items), len(node.records.of), len(node.connections))
+            else (len(node.learner.items), len(node.records.of), len(node.links.connections))
         )
 
     def _marked(self, node: Node) -> None:
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -20,7 +20,7 @@
 from foxspread.mesh.control_api.readiness import PauseDetector, Readiness
 from foxspread.mesh.endpoints import Endpoints
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.event_log import Event, EventLog
+from foxspread.mesh.event_log import EventLog
 from foxspread.mesh.fault_report import report_fault
 from foxspread.mesh.gossip.connection_manager import ConnectionManager, NeighbourFallback
 from foxspread.mesh.gossip.partial_view import Neighbour, PartialView
@@ -66,7 +66,9 @@
     def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop) -> None:
         self.settings, self.loop = settings, loop
         self.clock = boot_clock
-        self.incarnation = os.urandom(10).hex()  # random: no clock could make two starts of a node differ
+        self.incarnation = os.urandom(
+            10
+        ).hex()  # random: no clock could make two start_history of a node differ
         self.chance = Chance(int.from_bytes(os.urandom(4), "big"))
         self.event_log = EventLog(self.clock)
         self.member = (
@@ -105,7 +107,7 @@
         self.records = self.sync.records
         self.upstreams = Upstreams(self.records)
         self.event_log.view("settled", lambda event: self.configuration.apply(event.body))
-        self.event_log.view("record", self._fold_record)
+        self.event_log.view("record", lambda event: self.upstreams.fold(self.clock(), event.body))
 
     def _build_links(self) -> None:
         settings, now = self.settings, self.clock()
@@ -150,11 +152,6 @@
         """The committed set as held here."""
         return self.sync.learner
 
-    @property
-    def connections(self) -> dict[str, Any]:
-        """To peers, by their node."""
-        return self.links.connections
-
     # Start and end.
 
     async def run(self) -> None:
@@ -208,7 +205,7 @@
 
     async def _listen(self) -> None:
         instances = InstancesResource(
-            self.clock, self.instances, self.publish_own_record, self._drain_is_known
+            self.clock, self.instances, self.publish_own_record, self._drain_is_propagated
         )
         configuration = ConfigurationResource(
             self.replica_server, self.links.any_replica, lambda: self.pauses.stale(self.clock())
@@ -244,14 +241,13 @@
 
     async def _shut_down(self) -> None:
         """Does what `Shutdown` says, and waits between its phases."""
-        settings, contact = self.settings, self.contact
         shutdown = Shutdown(
             self.clock(),
-            settings.bounds["grace_s"],
-            "outbound" in settings.counters,
+            self.settings.bounds["grace_s"],
+            "outbound" in self.settings.counters,
             self.endpoints,
-            lambda now, up_for_s: self.records.spares(now, settings.node, settings.zone, up_for_s),
-            lambda now: contact is None or contact.may_leave_membership(now),
+            lambda now, s: self.records.spares(now, self.settings.node, self.settings.zone, s),
+            lambda now: self.contact is None or self.contact.may_leave_membership(now),
         )
         log_event("ending")
         self.sync.own_record.state = LEAVING
@@ -353,10 +349,7 @@
         if new:
             self.event_log.append("settled", new)
 
-    def _fold_record(self, event: Event) -> None:
-        self.upstreams.fold(self.clock(), event.body)
-
-    async def _drain_is_known(self) -> bool:
+    async def _drain_is_propagated(self) -> bool:
         """Whether a drain that the own record reports is to be acknowledged; waits until it is decided."""
         manager, version = self.connection_manager, self.sync.own_record.version
         wait = DrainPropagation(self.clock(), "inbound" in self.settings.counters)
--- a/foxspread/mesh/process.py
+++ b/foxspread/mesh/process.py
@@ -1,5 +1,6 @@
-"""`python -m foxspread.mesh.process`: one process of the mesh as the platform starts it, without what the
-command line loads. `python -m foxspread.mesh node` is the same for people.
+"""`python -m foxspread.mesh.process`: one process of the mesh as the platform starts it.
+
+Loads nothing of the command line, so that a sidecar stays small; `foxspread mesh node` runs the same.
 """
 
 import asyncio
@@ -8,27 +9,32 @@
 
 import uvloop
 
-from foxspread.mesh.log import log_event, configure_logging
-from foxspread.mesh.node import Node
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.log import configure_logging, log_event
+from foxspread.mesh.node import Node
 from foxspread.mesh.settings import FILE_VARIABLE, read_settings
 
+EXIT_OK, EXIT_SETTINGS_REFUSED = 0, 2
+
 
 def serve(path: str | None = None) -> int:
-    """Until its end; returns the exit code. `path`: the settings file, else FOXSPREAD_NODE_FILE names it."""
+    """Runs a node until it ends; returns the exit code.
+
+    `path` is the settings file, else FOXSPREAD_NODE_FILE names it.
+    """
     if path is not None:
         os.environ[FILE_VARIABLE] = path  # it is read again while the process runs
-    told = read_settings()
-    configure_logging(told.node if told else "unknown")
-    if isinstance(told, Failure):
-        log_event("settings_refused", why=told.reason)
-        return 2
+    settings = read_settings()
+    configure_logging(settings.node if settings else "unknown")
+    if isinstance(settings, Failure):
+        log_event("settings_refused", why=settings.reason)
+        return EXIT_SETTINGS_REFUSED
 
     async def run() -> None:
-        await Node(told, asyncio.get_running_loop()).run()
+        await Node(settings, asyncio.get_running_loop()).run()
 
     uvloop.run(run())
-    return 0
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/foxspread/mesh/replica_contact.py
+++ b/foxspread/mesh/replica_contact.py
@@ -35,7 +35,7 @@
     ) -> None:
         self.clock, self.settings, self.is_leaving = clock, settings, is_leaving
         self.server, self.quorum_contact, self.reconfiguration = server, quorum_contact, reconfiguration
-        self.starts = StartHistory()
+        self.start_history = StartHistory()
         self.announced = False  # whether peers were last told that there is contact
 
     # As `StateSync` sees the replica.
@@ -105,7 +105,7 @@
 
     def _answer(self, sender: str, fields: Fields) -> Fields:
         disk, promised = unpack_proposal_number(fields["disk"]), unpack_proposal_number(fields["promised"])
-        outdated = self.starts.told(sender, fields["life"], disk, fields["boots"], promised)
+        outdated = self.start_history.told(sender, fields["life"], disk, fields["boots"], promised)
         answer = QuorumContact.answer(fields, self.report())
         return {**answer, "older": fields["life"]} if outdated else answer
 
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -28,7 +28,7 @@
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replica_contact import CONTACT_REQUEST, CONTACT_RESPONSE
 from foxspread.mesh.state_sync import StateSync
-from foxspread.mesh.transport.messages import Fields, Have, Hello, News
+from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
 from foxspread.sums import Chance
 
 if TYPE_CHECKING:
@@ -164,14 +164,14 @@
             self.fleet.judge.shows(self.named, new)
 
     def _send(self, to: str, message: Fields) -> None:
-        if not _says_nothing(message):
+        if not _is_empty(message):
             self.fleet.links.send(self.name, to, message)
 
 
-def _says_nothing(message: Fields) -> bool:
+def _is_empty(message: Fields) -> bool:
     """Messages that a node sends and that tell nothing here, where nobody has an endpoint record: left out,
     so that a seed draws what it always drew."""
-    if message["t"] == News.kind:
+    if message["t"] == PullResponse.kind:
         return "upto" not in message
     return message["t"] == Have.kind and not message["v"]
 
@@ -332,7 +332,7 @@
 
     @property
     def recovered(self) -> bool:
-        """Of `LocalReplica`: a machine starts with its disk read."""
+        """Of `LocalReplica`: a machine start_history with its disk read."""
         return True
 
     @property
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -22,7 +22,7 @@
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
 from foxspread.mesh.replication.snapshot_transfer import ReceivedRows, SnapshotTransfer
-from foxspread.mesh.transport.messages import COMMITTED_SET, Fields, Have, News, Pull, VersionVector
+from foxspread.mesh.transport.messages import COMMITTED_SET, Fields, Have, PullResponse, Pull, VersionVector
 
 CHUNK_REQUEST, CHUNK = "piece", "rows"  # kinds, of `replication/snapshot_transfer.py`
 
@@ -85,7 +85,7 @@
         self.handlers: dict[str, Callable[[str, Fields], None]] = {
             Have.kind: self._on_have,
             Pull.kind: self._on_pull,
-            News.kind: self._on_news,
+            PullResponse.kind: self._on_pull_response,
             CHUNK_REQUEST: self._on_chunk_request,
             CHUNK: self._on_chunk,
         }
@@ -107,7 +107,7 @@
             return source == self.own_record.node or not self.is_replica(peer)
         return source != COMMITTED_SET or self.is_replica(peer) or self.replica.in_contact()
 
-    def may_tell_committed_set(self, peer: str) -> bool:
+    def may_send_committed_set(self, peer: str) -> bool:
         """Whether that peer may be told of the committed set now."""
         return self.replica is None or self.is_replica(peer) or self.replica.in_contact()
 
@@ -144,15 +144,15 @@
 
     def announce_committed_set(self) -> None:
         """Also to peers from which it was withheld, as while there was no contact with a quorum."""
-        self.anti_entropy.mark_dirty(COMMITTED_SET)
-        self.flush_soon()
+        self.anti_entropy.renew_announcement(COMMITTED_SET)
+        self.schedule_flush()
 
     def take_record(self, record: EndpointRecord) -> None:
         """An endpoint record, this process's own or a peer's; ignored if a newer one is held."""
         if self.records.take(self.clock(), record):
             self.anti_entropy.set_version(record.node, record.version)
             self.on_record(record.node)
-            self.flush_soon()
+            self.schedule_flush()
 
     # Peers.
 
@@ -180,7 +180,7 @@
             self.snapshot_transfer.told(peer, unpack_proposal_number(committed_number))
         self.anti_entropy.receive(peer, versions)
         self.compare_versions(have.versions)
-        self.flush_soon()
+        self.schedule_flush()
 
     def compare_versions(self, versions: VersionVector) -> None:
         """Peers hold these versions: the own record may have to follow, a proposal may be committed."""
@@ -193,28 +193,28 @@
     def _on_pull(self, peer: str, fields: Fields) -> None:
         self.send(peer, self.answer_pull(peer, Pull.decode(fields)).packed())
 
-    def answer_pull(self, peer: str, pull: Pull) -> News:
+    def answer_pull(self, peer: str, pull: Pull) -> PullResponse:
         """The records that are asked for, and how new the committed set is if the peer may be told."""
         records = [self.records.of[source].packed() for source in pull.versions if source in self.records.of]
-        if COMMITTED_SET in pull.versions and self.may_tell_committed_set(peer):
-            return News(pull.asked_at, self.learner.committed_number, self.age(), records or None)
-        return News(pull.asked_at, records=records or None)
-
-    def _on_news(self, peer: str, fields: Fields) -> None:
-        news = News.decode(fields)
-        if news.committed_number is not None and self.replica is None:
-            if news.committed_number <= self.learner.committed_number:
-                self.readiness.told(self.clock(), news.asked_at, news.age_s)
+        if COMMITTED_SET in pull.versions and self.may_send_committed_set(peer):
+            return PullResponse(pull.requested_at, self.learner.committed_number, self.age(), records or None)
+        return PullResponse(pull.requested_at, records=records or None)
+
+    def _on_pull_response(self, peer: str, fields: Fields) -> None:
+        response = PullResponse.decode(fields)
+        if response.committed_number is not None and self.replica is None:
+            if response.committed_number <= self.learner.committed_number:
+                self.readiness.told(self.clock(), response.requested_at, response.age_s)
             else:
-                self.snapshot_transfer.told(peer, news.committed_number)
-        if news.records is not None:
-            for row in news.records:
+                self.snapshot_transfer.told(peer, response.committed_number)
+        if response.records is not None:
+            for row in response.records:
                 self.take_record(unpack_record(row))
             self.has_records = True
-        self.flush_soon()
+        self.schedule_flush()
 
     def _on_chunk_request(self, peer: str, fields: Fields) -> None:
-        if self.may_tell_committed_set(peer):
+        if self.may_send_committed_set(peer):
             answer = SnapshotTransfer.answer(self.learner, fields, self.age(), self.is_replica(peer))
             self.send(peer, answer)
 
@@ -222,7 +222,7 @@
         received = self.snapshot_transfer.heard(self.clock(), peer, fields)
         if received is not None:
             self._take_rows(received)
-        self.flush_soon()
+        self.schedule_flush()
 
     def _take_rows(self, received: ReceivedRows) -> None:
         if self.replica is not None:
@@ -236,7 +236,7 @@
 
     # Sending.
 
-    def flush_soon(self) -> None:
+    def schedule_flush(self) -> None:
         """Announcements and pulls go out once for all that changes in one turn of the event loop."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
--- a/foxspread/mesh/transport/messages.py
+++ b/foxspread/mesh/transport/messages.py
@@ -19,7 +19,7 @@
 
 KIND = "t"
 NODE, MEMBER, ADDRESS, REPLICAS, IN_CONTACT = "node", "member", "inner", "cores", "contact"
-VERSIONS, ASKED_AT, COMMITTED_NUMBER, AGE, RECORDS = "v", "at", "upto", "age", "records"
+VERSIONS, REQUESTED_AT, COMMITTED_NUMBER, AGE, RECORDS = "v", "at", "upto", "age", "records"
 VIEW = "view"
 
 COMMITTED_SET = "="  # the source of the committed set in a version vector; the others are nodes
@@ -132,32 +132,32 @@
 
     kind: ClassVar[str] = "pull"
     versions: VersionVector  # sources that are asked for, with what the sender holds of each
-    asked_at: float  # seconds on the asker's clock; returned with the answer
+    requested_at: float  # seconds on the asker's clock; returned with the answer
 
     def packed(self) -> Fields:
-        return {KIND: self.kind, VERSIONS: self.versions, ASKED_AT: self.asked_at}
+        return {KIND: self.kind, VERSIONS: self.versions, REQUESTED_AT: self.requested_at}
 
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
-        return cls(fields[VERSIONS], fields[ASKED_AT])
+        return cls(fields[VERSIONS], fields[REQUESTED_AT])
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class PullResponse:
     """The answer to a pull: endpoint records, and how new the committed set is that the sender holds.
 
     The items of the committed set themselves are fetched in chunks (`replication/snapshot_transfer.py`).
     """
 
     kind: ClassVar[str] = "news"
-    asked_at: float | None  # of the pull, on the asker's clock
+    requested_at: float | None  # of the pull, on the asker's clock
     committed_number: tuple[int, str] | None = None  # None: the sender may not tell of the committed set
     age_s: float | None = None  # for how long the sender may have missed commits; None: not known
     records: Iterable[list[Any]] | None = None  # packed endpoint records; None: the sender has none of these
 
     def packed(self) -> Fields:
-        fields: Fields = {KIND: self.kind, ASKED_AT: self.asked_at}
+        fields: Fields = {KIND: self.kind, REQUESTED_AT: self.requested_at}
         if self.committed_number is not None:
             fields[COMMITTED_NUMBER], fields[AGE] = self.committed_number, self.age_s
         if self.records is not None:
@@ -168,9 +168,9 @@
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
         if COMMITTED_NUMBER not in fields:
-            return cls(fields.get(ASKED_AT), records=fields.get(RECORDS))
+            return cls(fields.get(REQUESTED_AT), records=fields.get(RECORDS))
         number = fields[COMMITTED_NUMBER]
-        return cls(fields[ASKED_AT], (int(number[0]), str(number[1])), fields[AGE], fields.get(RECORDS))
+        return cls(fields[REQUESTED_AT], (int(number[0]), str(number[1])), fields[AGE], fields.get(RECORDS))
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +223,7 @@
 
 
 HEARTBEAT_FIELDS = Heartbeat().packed()
-CONNECTION_MESSAGES = {each.kind: each for each in (Hello, Have, Pull, News, QuorumContactChange)}
+CONNECTION_MESSAGES = {each.kind: each for each in (Hello, Have, Pull, PullResponse, QuorumContactChange)}
 
 
 def kind_of(fields: Fields) -> str | None:
--- a/tests/mesh/hollow/test_experiment.py
+++ b/tests/mesh/hollow/test_experiment.py
@@ -9,7 +9,7 @@
 import testtools
 from click.testing import CliRunner
 
-from foxspread.mesh.__main__ import main
+from foxspread.mesh.cli import mesh as main
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.configuration.validation import parse_call
 from foxspread.mesh.hollow.experiment import Shape, configuration, keepers, sidecars, zone
--- a/tests/mesh/hollow/test_sizing.py
+++ b/tests/mesh/hollow/test_sizing.py
@@ -3,7 +3,7 @@
 import testtools
 from click.testing import CliRunner
 
-from foxspread.mesh.__main__ import main
+from foxspread.mesh.cli import mesh as main
 from foxspread.mesh.hollow.sizing import filled, items, message, rows, timed, weighed
 from foxspread.mesh.transport.netstrings import encode
 from foxspread.mesh.registry.endpoint_records import unpack_record
@@ -38,8 +38,8 @@
 
     def test_the_command(self) -> None:
         options = ["--sidecars", "40", "--services", "5", "--routes", "9", "--keepers", "3"]
-        result = CliRunner().invoke(main, ["weigh", *options])
+        result = CliRunner().invoke(main, ["sizing", *options])
         self.assertEqual(0, result.exit_code, result.output)
         self.assertEqual(len(weighed(40, 5, 9, 13, 3)), len(result.output.splitlines()))
         self.assertIn("40 records and their servers", result.output)
-        self.assertEqual(2, CliRunner().invoke(main, ["weigh", "--sidecars", "0"]).exit_code)
+        self.assertEqual(2, CliRunner().invoke(main, ["sizing", "--sidecars", "0"]).exit_code)
--- a/tests/mesh/simulation/test_command.py
+++ b/tests/mesh/simulation/test_command.py
@@ -1,14 +1,14 @@
-"""`python -m foxspread.mesh sim`."""
+"""`foxspread mesh simulate`."""
 
 from click.testing import CliRunner
 from testtools import TestCase
 
-from foxspread.mesh.__main__ import main
+from foxspread.mesh.cli import mesh as main
 
 
 class Command(TestCase):
     def ran(self, *options: str) -> tuple[int, str]:
-        result = CliRunner().invoke(main, ["sim", "--jobs", "1", *options])
+        result = CliRunner().invoke(main, ["simulate", "--jobs", "1", *options])
         return result.exit_code, result.output
 
     def test_what_it_tells(self) -> None:
--- /dev/null
+++ b/tests/mesh/test_cli.py
@@ -0,0 +1,50 @@
+"""The commands of the mesh: their names, former and present, and what listing them loads."""
+
+import subprocess
+import sys
+
+import testtools
+from click.testing import CliRunner
+
+from foxspread.cli.main import foxspread
+from foxspread.mesh.cli import ALIASES, mesh
+
+COMMANDS = ["hollow", "node", "simulate", "sizing", "smoke-test", "up"]
+
+
+class Names(testtools.TestCase):
+    def invoke(self, command, *words):
+        return CliRunner().invoke(command, words)
+
+    def test_the_commands_of_the_mesh_are_those_of_foxspread_mesh(self):
+        self.assertEqual(COMMANDS, mesh.list_commands(None))
+        for name in COMMANDS:
+            result = self.invoke(foxspread, "mesh", name, "--help")
+            self.assertEqual(0, result.exit_code, result.output)
+            self.assertIn(f"mesh {name}", result.output)
+
+    def test_former_names_still_run_the_same_commands(self):
+        for former, present in ALIASES.items():
+            self.assertIs(mesh.get_command(None, present), mesh.get_command(None, former))
+            outputs = [self.invoke(mesh, name, "--help").output for name in (former, present)]
+            self.assertEqual(outputs[0], outputs[1])
+        self.assertEqual(2, self.invoke(mesh, "weighing").exit_code)
+
+    def test_foxspread_lists_the_mesh(self):
+        self.assertIn("\n  mesh ", self.invoke(foxspread, "--help").output)
+
+
+class Loading(testtools.TestCase):
+    def loaded(self, code):
+        names = "[name for name in ('uvloop', 'orjson', 'cerberus', 'click') if name in sys.modules]"
+        run = subprocess.run(
+            [sys.executable, "-c", f"import sys\n{code}\nprint({names})"], capture_output=True, text=True
+        )
+        self.assertEqual(0, run.returncode, run.stderr)
+        return run.stdout.strip()
+
+    def test_listing_commands_loads_no_extras_of_the_mesh(self):
+        self.assertEqual("['click']", self.loaded("import foxspread.mesh.cli"))
+
+    def test_a_process_of_the_mesh_loads_neither_click_nor_cerberus(self):
+        self.assertEqual("['uvloop', 'orjson']", self.loaded("import foxspread.mesh.process"))
--- a/tests/mesh/transport/test_messages.py
+++ b/tests/mesh/transport/test_messages.py
@@ -9,7 +9,7 @@
     Hello,
     MalformedMessageError,
     Neighbour,
-    News,
+    PullResponse,
     Pull,
     QuorumContactChange,
     ShuffleRequest,
@@ -29,9 +29,9 @@
     b'{"t":"beat"}': Heartbeat(),
     b'{"t":"have","v":{"=":[4,"l"],"n":[7,1]}}': Have({"=": (4, "l"), "n": (7, 1)}),
     b'{"t":"pull","v":{"=":[4,"l"]},"at":1.5}': Pull({"=": [4, "l"]}, 1.5),
-    b'{"t":"news","at":1.5}': News(1.5),
-    b'{"t":"news","at":1.5,"upto":[4,"l"],"age":null}': News(1.5, (4, "l")),
-    b'{"t":"news","at":1.5,"upto":[4,"l"],"age":0.1,"records":[["n",[7,1]]]}': News(
+    b'{"t":"news","at":1.5}': PullResponse(1.5),
+    b'{"t":"news","at":1.5,"upto":[4,"l"],"age":null}': PullResponse(1.5, (4, "l")),
+    b'{"t":"news","at":1.5,"upto":[4,"l"],"age":0.1,"records":[["n",[7,1]]]}': PullResponse(
         1.5, (4, "l"), 0.1, [["n", [7, 1]]]
     ),
     b'{"t":"standing","contact":true}': QuorumContactChange(True),
@@ -67,8 +67,8 @@
             (Have, {"v": 7}),
             (Have, {"v": {"n": 7}}),
             (Pull, {"v": {}}),
-            (News, {"upto": [4, "l"]}),
-            (News, {"at": 1.0, "upto": 4, "age": 1.0}),
+            (PullResponse, {"upto": [4, "l"]}),
+            (PullResponse, {"at": 1.0, "upto": 4, "age": 1.0}),
             (QuorumContactChange, {}),
             (ShuffleRequest, {"view": [["n"]]}),
             (ShuffleResponse, {"view": []}),
