--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -9,7 +9,6 @@
 import random
 import signal
 import time
-from typing import Any
 
 from foxspread.mesh.committed_configuration import CommittedConfiguration
 from foxspread.mesh.configuration.items import Item
