--- a/foxspread/mesh/configuration/idempotency.py
+++ b/foxspread/mesh/configuration/idempotency.py
@@ -24,7 +24,7 @@
     Past,
     consistent,
 )
-from foxspread.mesh.errors import Failure, conflict, outcome_unknown
+from foxspread.mesh.errors import Failure, Conflict, OutcomeUnknown
 
 PAST_MOST = 32  # lower versions of an item that are told apart; below them nothing is confirmed nor refused
 REFUSED_MOST = 4096  # orders known to be refused; with more, a refusal has to wait
@@ -84,11 +84,11 @@
         there = newer.get(item.key) or held.get(item.key)
         if item.kind in ANYHOW:
             if item.version != (there.version if there is not None else 0) + 1:
-                return conflict(f"{item.kind} {item.name}: r{item.version} does not follow what holds")
+                return Conflict(f"{item.kind} {item.name}: r{item.version} does not follow what holds")
             newer[item.key] = item
         elif there is None:
             if item.version <= _floor_of_dropped(held):
-                return outcome_unknown(
+                return OutcomeUnknown(
                     f"{item.kind} {item.name}: what held up to r{item.version} is not known"
                 )
             newer[item.key] = item
@@ -96,18 +96,18 @@
             newer[item.key] = replace(item, past=is_superseded(there))
         elif item.version == there.version:
             if item.content != there.content:
-                return conflict(f"{item.kind} {item.name}: r{item.version} holds another content")
+                return Conflict(f"{item.kind} {item.name}: r{item.version} holds another content")
         else:
             floor, known = there.past
             if item.version <= floor:
-                return outcome_unknown(
+                return OutcomeUnknown(
                     f"{item.kind} {item.name}: what r{item.version} held is not known any more"
                 )
             before, what = dict(known).get(item.version), digest(item)
             if before is None:
                 newer[item.key] = replace(there, past=_noted(there.past, item.version, what))
             elif before != what:
-                return conflict(f"{item.kind} {item.name}: r{item.version} held another content")
+                return Conflict(f"{item.kind} {item.name}: r{item.version} held another content")
     return newer
 
 
@@ -153,7 +153,7 @@
         rows[KEPT, REFUSED] = Item(KEPT, REFUSED, version, {"t": round(least, 3)})
         known = [t for t in known if t >= least]
     if len(known) >= REFUSED_MOST:
-        return outcome_unknown("too many orders were refused within the last hour to remember another")
+        return OutcomeUnknown("too many orders were refused within the last hour to remember another")
     return rows
 
 
--- a/foxspread/mesh/configuration/items.py
+++ b/foxspread/mesh/configuration/items.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from foxspread.mesh.errors import Failure, invalid
+from foxspread.mesh.errors import Failure, InvalidRequest
 
 Key = tuple[str, str]  # kind and name
 ROUTE, SERVICE, LIMITS = "route", "service", "limits"  # the operator's
@@ -75,23 +75,23 @@
         if item.kind == ROUTE and item.content is not None:
             for service, _ in services_of(item.content):
                 if not stands((SERVICE, service)):
-                    return invalid(f"route {item.name}: unknown service {service!r}")
+                    return InvalidRequest(f"route {item.name}: unknown service {service!r}")
     routes = [item for item in newer.values() if item.kind == ROUTE and item.content is not None]
     gone = {item.name for item in newer.values() if item.kind == SERVICE and item.content is None}
     if not routes and not gone:
         return None
     taken = {place_of(item.content): item.name for item in routes}
     if len(taken) < len(routes):
-        return invalid("two routes of one call share host and prefix")
+        return InvalidRequest("two routes of one call share host and prefix")
     for key, item in held.items():
         if key[0] != ROUTE or item.content is None or key in newer:
             continue
         if (other := taken.get(place_of(item.content))) is not None:
-            return invalid(f"route {other}: route {item.name} has that host and prefix")
+            return InvalidRequest(f"route {other}: route {item.name} has that host and prefix")
         if gone:
             for service, _ in services_of(item.content):
                 if service in gone:
-                    return invalid(f"service {service}: route {item.name} goes there")
+                    return InvalidRequest(f"service {service}: route {item.name} goes there")
     return None
 
 
--- a/foxspread/mesh/configuration/validation.py
+++ b/foxspread/mesh/configuration/validation.py
@@ -11,7 +11,7 @@
 from cerberus import Validator
 
 from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item, place_of
-from foxspread.mesh.errors import Failure, invalid
+from foxspread.mesh.errors import Failure, InvalidRequest
 
 LONGEST_S = 600.0  # a deadline may be so long
 AIM_OVER_S = 60.0  # and a target may lie less than this over it
@@ -119,17 +119,17 @@
     try:
         call = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        yield invalid(f"the body can't be read whole: {error}")
+        yield InvalidRequest(f"the body can't be read whole: {error}")
         return
     if not isinstance(call, dict):
-        yield invalid("the body must be an object")
+        yield InvalidRequest("the body must be an object")
         return
     if not _shallow(call):
-        yield invalid(f"the body can't be read whole: nested deeper than {DEEPEST - ROOM} levels")
+        yield InvalidRequest(f"the body can't be read whole: nested deeper than {DEEPEST - ROOM} levels")
         return
     lodged, dropped = (_part(call, word, {}) for word in ("lodge", "withdraw"))
     if not isinstance(lodged, dict) or not isinstance(dropped, dict):
-        yield invalid("lodge and withdraw must be objects")
+        yield InvalidRequest("lodge and withdraw must be objects")
         return
     seen: dict[Any, Item] = {}
     places: dict[Any, str] = {}
@@ -138,7 +138,7 @@
             yield found
             return
         if found.key in seen and seen[found.key] != found:
-            yield invalid(f"{found.kind} {found.name}: named twice in one call")
+            yield InvalidRequest(f"{found.kind} {found.name}: named twice in one call")
             return
         seen[found.key] = found
         if (
@@ -146,7 +146,7 @@
             and found.content is not None
             and places.setdefault(place_of(found.content), found.name) != found.name
         ):
-            yield invalid(
+            yield InvalidRequest(
                 f"route {found.name}: route {places[place_of(found.content)]} has that host and prefix"
             )
             return
@@ -164,7 +164,7 @@
 def _steps(lodged: dict, dropped: dict) -> Iterator[Item | Failure]:
     fleets, gates = (_part(lodged, word, []) for word in ("fleets", "gates"))
     if not isinstance(fleets, list) or not isinstance(gates, list):
-        yield invalid("lodge: gates and fleets must be lists")
+        yield InvalidRequest("lodge: gates and fleets must be lists")
         return
     if (limits := lodged.get("limits")) is not None:
         yield _one("limits", "limits", limits, lambda each: _item(LIMITS, LIMITS, each, each))
@@ -173,14 +173,14 @@
     for gate in gates:
         host = gate.get("destination") if isinstance(gate, dict) else None
         if not isinstance(host, str) or not host or not isinstance(gate.get("regulations", []), list):
-            yield invalid(f"gates: {str(gate)[:80]}: wants a destination and a list of regulations")
+            yield InvalidRequest(f"gates: {str(gate)[:80]}: wants a destination and a list of regulations")
             return
         for rule in gate.get("regulations", []):
             yield _one("rule", f"gates.{host}", rule, lambda each, host=host: _sensible(host, each))
     for word, kind in KINDS.items():
         rows = _part(dropped, word, [])
         if not isinstance(rows, list):
-            yield invalid(f"withdraw.{word}: must be a list")
+            yield InvalidRequest(f"withdraw.{word}: must be a list")
             return
         for row in rows:
             yield _one(
@@ -194,10 +194,10 @@
 
 def _one(check: str, where: str, found: Any, make: Callable[[dict], Item | Failure]) -> Item | Failure:
     if not isinstance(found, dict):
-        return invalid(f"{where}: {str(found)[:80]}: must be an object")
+        return InvalidRequest(f"{where}: {str(found)[:80]}: must be an object")
     validator = _checks[check]
     if not validator.validate(found, normalize=False):
-        return invalid(f"{where} {found.get('name', '')}: {describe_errors(validator.errors, found)}")
+        return InvalidRequest(f"{where} {found.get('name', '')}: {describe_errors(validator.errors, found)}")
     return make(found)
 
 
@@ -205,11 +205,13 @@
     """What no schema can say of a route."""
     name, dispatch = rule["name"], rule["dispatch"]
     if dispatch["deadline_s"] <= 0:
-        return invalid(f"route {name}: deadline_s: {dispatch['deadline_s']}: must be over 0")
+        return InvalidRequest(f"route {name}: deadline_s: {dispatch['deadline_s']}: must be over 0")
     if rule.get("target_s", 0) >= dispatch["deadline_s"] + AIM_OVER_S:
-        return invalid(f"route {name}: target_s: {rule['target_s']}: a minute or more over its deadline_s")
+        return InvalidRequest(
+            f"route {name}: target_s: {rule['target_s']}: a minute or more over its deadline_s"
+        )
     if ("service" in dispatch) == ("consignments" in dispatch):
-        return invalid(f"route {name}: dispatch: wants a service or consignments")
+        return InvalidRequest(f"route {name}: dispatch: wants a service or consignments")
     if "consignments" in dispatch and sum(each.get("weight", 1) for each in dispatch["consignments"]) <= 0:
-        return invalid(f"route {name}: consignments: no weight")
+        return InvalidRequest(f"route {name}: consignments: no weight")
     return _item(ROUTE, name, rule, {"destination": host, "rule": rule})
--- a/foxspread/mesh/control_api/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -6,7 +6,7 @@
 from foxspread.mesh.control_api.handlers import Elsewhere
 from foxspread.mesh.configuration.items import Item, laid_out
 from foxspread.mesh.log import log_event
-from foxspread.mesh.errors import Failure, outcome_unknown
+from foxspread.mesh.errors import Failure, OutcomeUnknown
 from foxspread.mesh.replication.replica_server import ReplicaServer
 
 STOOD_STILL = "this process stood still: the call may be an old copy"
@@ -28,7 +28,7 @@
         if self.replica_server is None:
             return self._on("Config.Patch")
         if self.stale():
-            return outcome_unknown(STOOD_STILL)
+            return OutcomeUnknown(STOOD_STILL)
         from foxspread.mesh.configuration.validation import (
             parse_call,
         )  # and with it cerberus: not for sidecars without a disk
@@ -43,7 +43,7 @@
             else:
                 items.append(step)
         if self.stale():
-            return outcome_unknown(STOOD_STILL)
+            return OutcomeUnknown(STOOD_STILL)
         outcome = await self.replica_server.submit(items)
         log_event(
             "config",
@@ -57,7 +57,7 @@
         if self.replica_server is None:
             return self._on("Config.Get")
         if self.stale():
-            return outcome_unknown(STOOD_STILL)
+            return OutcomeUnknown(STOOD_STILL)
         outcome = await self.replica_server.submit([])
         return laid_out(self.replica_server.acceptor.learner.items.values()) if outcome is True else outcome
 
@@ -66,5 +66,5 @@
         return (
             Elsewhere(f"http://{place}/api/{call}")
             if place
-            else outcome_unknown("no machine with a disk is known")
+            else OutcomeUnknown("no machine with a disk is known")
         )
--- a/foxspread/mesh/control_api/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -9,7 +9,7 @@
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.schema import (
     COUNT,
-    NEEDED_TEXT,
+    REQUIRED_TEXT,
     TEXT,
     FieldRule,
     first_fault,
@@ -19,7 +19,7 @@
 )
 
 BEAT = {
-    "service": NEEDED_TEXT,
+    "service": REQUIRED_TEXT,
     "address": FieldRule(is_address, "host:port", True),
     "zone": TEXT,
     "berths": COUNT,
--- a/foxspread/mesh/errors.py
+++ b/foxspread/mesh/errors.py
@@ -1,5 +1,10 @@
-"""Failures as values: a sentinel that is false and carries its reason. Nothing in the mesh raises what a
-peer, an operator or a disk can cause; only a broken invariant stops the process (`Broken`).
+"""The kinds of failure of the mesh: values for what others cause, one exception for what must not be.
+
+What a peer, an operator or a disk can cause is an ordinary outcome: it is returned as a `Failure`, which is
+false in a condition, so that no caller can miss it as it could miss an exception. Only a broken invariant is
+raised, as `InvariantViolation`: going on could do harm, so the process ends.
+
+The status of a failure is that of RFC 9110, and the control API answers with it.
 """
 
 from dataclasses import dataclass
@@ -11,7 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """What did not come about, and why; false in a condition. `status` is what a caller over HTTP is told."""
+    """What did not come about; false in a condition.
+
+    `reason` is for people and names the offending value; `status` is the HTTP status that the control API
+    answers with.
+    """
 
     reason: str
     status: int = 400
@@ -20,16 +29,48 @@
         return False
 
 
-def invalid(reason: str) -> Failure:
-    """For good: nothing of it is or will be in force."""
-    return Failure(reason, 400)
+@dataclass(frozen=True, slots=True)
+class InvalidRequest(Failure):
+    """Final: malformed, or against the configuration; nothing of it is or will be in force."""
+
+    status: int = 400
+
+
+@dataclass(frozen=True, slots=True)
+class InvalidSettings(Failure):
+    """The settings file of a process can't be read or has a faulty value."""
+
+    status: int = 400
+
+
+@dataclass(frozen=True, slots=True)
+class Conflict(Failure):
+    """Final: another content has that version."""
+
+    status: int = 409
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceEnded(Failure):
+    """Final: that incarnation of a server has said that it ended."""
+
+    status: int = 410
+
+
+@dataclass(frozen=True, slots=True)
+class OutcomeUnknown(Failure):
+    """It is not known whether it came about: the caller repeats it, here or elsewhere."""
+
+    status: int = 503
+
+
+_KIND_OF_STATUS = {kind.status: kind for kind in (InvalidRequest, Conflict, InstanceEnded, OutcomeUnknown)}
 
 
-def conflict(reason: str) -> Failure:
-    """For good: another content holds that version."""
-    return Failure(reason, 409)
+def failure_of_status(status: int, reason: str) -> Failure:
+    """The failure that was stored as a status and a reason."""
+    return _KIND_OF_STATUS.get(status, Failure)(reason, status)
 
 
-def outcome_unknown(reason: str) -> Failure:
-    """Not known whether it came about: the caller asks again, here or elsewhere."""
-    return Failure(reason, 503)
+# Former names, until the last caller has gone over.
+invalid, conflict, outcome_unknown = InvalidRequest, Conflict, OutcomeUnknown
--- a/foxspread/mesh/log.py
+++ b/foxspread/mesh/log.py
@@ -1,33 +1,54 @@
-"""Logs: one line of key=value pairs an event, to standard error."""
+"""Structured logs: one line of key=value pairs for each event, to standard error (logfmt).
+
+A record of the logger `foxspread.mesh` has the event's name as its message and the pairs in `fields`;
+`KeyValueFormatter` makes the line of them. docs/operators/orchard.md lists the events.
+"""
 
 import logging
 import sys
 
-LOGGER = logging.getLogger("orchard")
+LOGGER = logging.getLogger("foxspread.mesh")
+TIME_FORMAT = "%H:%M:%S"
+NEEDS_QUOTES = ' "=\n\r'  # a value with one of these can't stand bare in a line of pairs
+
+
+class KeyValueFormatter(logging.Formatter):
+    """Formats a record as `at=... level=... node=... event=... key=value`."""
+
+    def __init__(self, node: str) -> None:
+        super().__init__(datefmt=TIME_FORMAT)
+        self.node = node
+
+    def format(self, record: logging.LogRecord) -> str:
+        """The line of one event, without its end."""
+        at = f"{self.formatTime(record, self.datefmt)}.{int(record.msecs):03d}"
+        return f"at={at} level={record.levelname} node={self.node} {format_event(record)}"
+
+
+def format_event(record: logging.LogRecord) -> str:
+    """The event and its fields alone, as they end each line."""
+    fields = getattr(record, "fields", {})
+    return " ".join([f"event={record.getMessage()}", *(f"{k}={format_value(v)}" for k, v in fields.items())])
+
+
+def format_value(value: object) -> str:
+    """A float with four places; quoted where it has a space, a quote, an equals sign or a line's end."""
+    text = f"{value:.4f}" if isinstance(value, float) else str(value)
+    if text and not any(each in text for each in NEEDS_QUOTES):
+        return text
+    escaped = text.replace("\\", "\\\\").replace('"', "'").replace("\n", " ").replace("\r", " ")
+    return f'"{escaped}"'
 
 
 def configure_logging(node: str, level: int = logging.INFO) -> None:
+    """Sends the mesh's log to standard error; `node` is named in each line."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(
-        logging.Formatter(
-            f"at=%(asctime)s.%(msecs)03d level=%(levelname)s node={node} %(message)s", "%H:%M:%S"
-        )
-    )
+    handler.setFormatter(KeyValueFormatter(node))
     LOGGER.handlers[:] = [handler]
     LOGGER.setLevel(level)
     LOGGER.propagate = False
 
 
 def log_event(event: str, level: int = logging.INFO, **fields: object) -> None:
-    """One event; a value with a space, a quote or an equals sign in it is quoted."""
-    if LOGGER.isEnabledFor(level):
-        LOGGER.log(
-            level, "%s", " ".join([f"event={event}", *(f"{k}={_plain(v)}" for k, v in fields.items())])
-        )
-
-
-def _plain(value: object) -> str:
-    text = f"{value:.4f}" if isinstance(value, float) else str(value)
-    if not text or any(each in text for each in ' "=\n\r'):
-        return '"' + text.replace("\\", "\\\\").replace('"', "'").replace("\n", " ").replace("\r", " ") + '"'
-    return text
+    """Logs one event with its fields, in the order in which they are given."""
+    LOGGER.log(level, event, extra={"fields": fields})
--- a/foxspread/mesh/process.py
+++ b/foxspread/mesh/process.py
@@ -18,14 +18,14 @@
     """Until its end; returns the exit code. `path`: the settings file, else FOXSPREAD_NODE_FILE names it."""
     if path is not None:
         os.environ[FILE_VARIABLE] = path  # it is read again while the process runs
-    told = read_settings()
-    configure_logging(told.node if told else "unknown")
-    if isinstance(told, Failure):
-        log_event("settings_refused", why=told.reason)
+    settings = read_settings()
+    configure_logging(settings.node if settings else "unknown")
+    if isinstance(settings, Failure):
+        log_event("settings_refused", why=settings.reason)
         return 2
 
     async def run() -> None:
-        await Node(told, asyncio.get_running_loop()).run()
+        await Node(settings, asyncio.get_running_loop()).run()
 
     uvloop.run(run())
     return 0
--- a/foxspread/mesh/registry/incarnations.py
+++ b/foxspread/mesh/registry/incarnations.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from foxspread.mesh.errors import Failure
+from foxspread.mesh.errors import Failure, InstanceEnded
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 MISSED = 2.6  # beats, after which one that says nothing counts as gone
@@ -56,7 +56,7 @@
     def beat(self, now: float, id: str, told: dict[str, Any]) -> bool | Failure:
         """True where something changed that others have to know."""
         if id in self.ended:
-            return Failure(f"{id} has left", 410)
+            return InstanceEnded(f"{id} has left")
         old = self.servers.get(id)
         if old is not None and told["sequence"] <= old.sequence:
             return False  # late: what it said after that is known
--- a/foxspread/mesh/settings.py
+++ b/foxspread/mesh/settings.py
@@ -1,6 +1,7 @@
-"""What a process is told: the JSON file that FOXSPREAD_NODE_FILE names, read and checked in one place.
-Unknown keys are ignored; a faulty one is named with its value. The source is the platform's page on
-deployment.
+"""The settings of a process: the JSON file that FOXSPREAD_NODE_FILE names, read and checked in one place.
+
+Unknown keys are ignored, since the platform may send keys of later versions; a faulty one is named with its
+value. The keys and their form are the platform's (its page on deployment); they are spelled here only.
 """
 
 import os
@@ -9,28 +10,28 @@
 
 import orjson
 
-from foxspread.mesh.errors import Failure
+from foxspread.mesh.errors import InvalidSettings
 from foxspread.mesh.schema import (
     AMOUNT,
     COUNT,
     FLAG,
     LIST,
-    NEEDED_TEXT,
     OBJECT,
+    REQUIRED_TEXT,
     TEXT,
     FieldRule,
-    all_of,
     first_fault,
-    is_number,
     is_address,
     is_integer,
+    is_number,
+    list_of,
 )
 
 FILE_VARIABLE = "FOXSPREAD_NODE_FILE"
-FILE_USUAL = "/etc/foxspread/node.json"
-Address = tuple[str, int]
+DEFAULT_FILE = "/etc/foxspread/node.json"
+Address = tuple[str, int]  # host and port
 
-# Seconds, unless a name says otherwise: what holds where the file tells no other.
+# In seconds, unless the name says otherwise: the values of bounds that the file leaves out.
 BOUNDS = {
     "seed_lag_s": 3.0,
     "reuse_after_s": 2.0,
@@ -49,14 +50,14 @@
     "recover_s": 15.0,
 }
 
-PLACES = FieldRule(all_of(is_address), "a list of host:port")
-WANTS = {
-    "node": NEEDED_TEXT,
+ADDRESSES = FieldRule(list_of(is_address), "a list of host:port")
+RULES = {
+    "node": REQUIRED_TEXT,
     "role": TEXT,
     "machine_class": TEXT,
-    "serves": LIST._replace(needed=True),
-    "ip": NEEDED_TEXT,
-    "zone": TEXT._replace(needed=True),
+    "serves": LIST._replace(required=True),
+    "ip": REQUIRED_TEXT,
+    "zone": TEXT._replace(required=True),
     "region": TEXT,
     "zones": OBJECT,
     "counters": FieldRule(
@@ -65,11 +66,11 @@
         True,
     ),
     "inner_ports": FieldRule(
-        lambda each: all_of(lambda port: is_integer(port, 1, 65535))(each) and len(each) == 2,
+        lambda each: list_of(lambda port: is_integer(port, 1, 65535))(each) and len(each) == 2,
         "two ports",
         True,
     ),
-    "seeds": PLACES,
+    "seeds": ADDRESSES,
     "first_start": FLAG,
     "limits": OBJECT,
     "limits.cpu_share": AMOUNT,
@@ -90,23 +91,29 @@
 }
 
 
+DEFAULT_MEMORY_MB = 300.0  # where the file has no limits
+DEFAULT_FILE_HANDLES = 1024
+
+
 @dataclass(frozen=True)
 class Settings:
+    """The settings of one process. Names and forms follow the keys of the file."""
+
     node: str
     ip: str
     zone: str
     serves: tuple[str, ...]
-    counters: dict[str, Address]
-    inner_ports: tuple[int, int]
-    seeds: tuple[str, ...] = ()  # control addresses, as told
+    counters: dict[str, Address]  # where it listens: `outbound`, `inbound`, `ready`, `control`
+    inner_ports: tuple[int, int]  # the first one is for connections of other processes of the mesh
+    seeds: tuple[str, ...] = ()  # control addresses of replicas, as the file has them
     region: str = ""
     zones: dict[str, str] = field(default_factory=dict)
     first_start: bool = False
-    memory_mb: float = 300.0
-    file_handles: int = 1024
+    memory_mb: float = DEFAULT_MEMORY_MB
+    file_handles: int = DEFAULT_FILE_HANDLES
     data_dir: str | None = None
     heartbeat_s: float = 1.0
-    tolerate: int = 1
+    tolerate: int = 1  # machines that may fail at once
     bounds: dict[str, float] = field(default_factory=lambda: dict(BOUNDS))
     app: Address | None = None
     service: str = ""
@@ -115,93 +122,97 @@
 
     @property
     def inner(self) -> Address:
-        """Where it hears its own kind. All machines have the same ports free."""
+        """Where other processes of the mesh connect. All machines have the same ports free."""
         return self.ip, self.inner_ports[0]
 
     @property
     def has_storage(self) -> bool:
-        """Whether it holds the state on a disk."""
+        """Whether it is a replica: it keeps the configuration on a disk."""
         return self.data_dir is not None
 
     def seed_addresses(self) -> list[Address]:
-        """Where those that serve control hear their own kind."""
+        """Where the replicas that the seeds name accept connections of the mesh."""
         return [(parse_address(each)[0], self.inner_ports[0]) for each in self.seeds]
 
 
 def parse_address(text: str) -> Address:
+    """The host and port of a text `host:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-def format_address(place: Address) -> str:
-    return f"{place[0]}:{place[1]}"
+def format_address(address: Address) -> str:
+    """An address as the text `host:port`."""
+    return f"{address[0]}:{address[1]}"
 
 
-def read_settings(path: str | None = None) -> Settings | Failure:
-    """The settings, or a failure that names the key and its value."""
-    path = path or os.environ.get(FILE_VARIABLE) or FILE_USUAL
+def read_settings(path: str | None = None) -> Settings | InvalidSettings:
+    """The settings in the file at `path`, else in the one the environment names, else in DEFAULT_FILE."""
+    path = path or os.environ.get(FILE_VARIABLE) or DEFAULT_FILE
     try:
         with open(path, "rb") as file:
             data = orjson.loads(file.read())
     except OSError as error:
-        return Failure(f"{path}: {error.strerror}")
+        return InvalidSettings(f"{path}: {error.strerror}")
     except orjson.JSONDecodeError as error:
-        return Failure(f"{path}: {error}")
+        return InvalidSettings(f"{path}: {error}")
     return settings_from(data)
 
 
-def settings_from(data: Any) -> Settings | Failure:
+def settings_from(data: Any) -> Settings | InvalidSettings:
+    """The settings that the content of a file stands for, or a failure that names the key and its value."""
     if not isinstance(data, dict):
-        return Failure("settings must be an object")
-    if (fault := first_fault(data, WANTS)) is not None:
-        return Failure(fault)
-    bounds = _bounds(data.get("bounds", []))
-    if isinstance(bounds, Failure):
+        return InvalidSettings("settings must be an object")
+    if (fault := first_fault(data, RULES)) is not None:
+        return InvalidSettings(fault)
+    bounds = _parse_bounds(data.get("bounds", []))
+    if isinstance(bounds, InvalidSettings):
         return bounds
-    limits = data.get("limits", {})
+    limits, tolerate = data.get("limits", {}), data.get("tolerate", {})
     return Settings(
-        data["node"],
-        data["ip"],
-        data["zone"],
-        tuple(data["serves"]),
-        {name: parse_address(each) for name, each in data["counters"].items()},
-        tuple(data["inner_ports"]),
-        tuple(data.get("seeds", ())),
-        data.get("region", ""),
-        data.get("zones", {}),
-        data.get("first_start", False),
-        limits.get("memory_mb", 300.0),
-        int(limits.get("file_handles", 1024)),
-        data.get("data_dir"),
-        data.get("heartbeat_s", 1.0),
-        data.get("tolerate", {}).get("machines", 1),
-        bounds,
-        parse_address(data["app"]) if data.get("app") else None,
-        data.get("service", ""),
-        data.get("machine_class", ""),
-        data.get("tolerate", {}).get("zones", 0),
+        node=data["node"],
+        ip=data["ip"],
+        zone=data["zone"],
+        serves=tuple(data["serves"]),
+        counters={name: parse_address(each) for name, each in data["counters"].items()},
+        inner_ports=tuple(data["inner_ports"]),
+        seeds=tuple(data.get("seeds", ())),
+        region=data.get("region", ""),
+        zones=data.get("zones", {}),
+        first_start=data.get("first_start", False),
+        memory_mb=limits.get("memory_mb", DEFAULT_MEMORY_MB),
+        file_handles=int(limits.get("file_handles", DEFAULT_FILE_HANDLES)),
+        data_dir=data.get("data_dir"),
+        heartbeat_s=data.get("heartbeat_s", 1.0),
+        tolerate=tolerate.get("machines", 1),
+        bounds=bounds,
+        app=parse_address(data["app"]) if data.get("app") else None,
+        service=data.get("service", ""),
+        machine_class=data.get("machine_class", ""),
+        tolerate_zones=tolerate.get("zones", 0),
     )
 
 
-def _bounds(given: list | str) -> dict[str, float] | Failure:
+def _parse_bounds(rows: list | str) -> dict[str, float] | InvalidSettings:
+    """The bounds of rows `name=value`, or of one text of them; the default where a name is left out."""
     bounds = dict(BOUNDS)
-    for row in given.split(",") if isinstance(given, str) else given:
-        name, found, value = str(row).strip().partition("=")
-        if not found:
-            return Failure(f"bounds: {row!r} is not name=value")
+    for row in rows.split(",") if isinstance(rows, str) else rows:
+        name, equals, value = str(row).strip().partition("=")
+        if not equals:
+            return InvalidSettings(f"bounds: {row!r} is not name=value")
         if value in ("true", "false"):
             bounds[name] = float(value == "true")
             continue
         try:
             bounds[name] = float(value)
         except ValueError:
-            if name in BOUNDS:
-                return Failure(f"bounds: {name}={value!r} is no number")
+            if name in BOUNDS:  # a bound of a later version may be anything
+                return InvalidSettings(f"bounds: {name}={value!r} is no number")
     return bounds
 
 
 def reloaded(old: Settings, new: Settings) -> Settings:
-    """What a running process takes up of a changed file: all but where it listens and what it keeps."""
+    """What a running process takes over of a changed file: all but its identity, addresses and storage."""
     return replace(
         new,
         counters=old.counters,
--- a/foxspread/mesh/simulation/operators.py
+++ b/foxspread/mesh/simulation/operators.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.errors import Failure, outcome_unknown
+from foxspread.mesh.errors import Failure, OutcomeUnknown
 from foxspread.mesh.simulation.invariants import BACK_S, Call
 from foxspread.mesh.simulation.machines import Machine
 
@@ -70,7 +70,7 @@
 
         def arrives() -> None:
             if not machine.up:
-                return answered(outcome_unknown("nobody there"), {})
+                return answered(OutcomeUnknown("nobody there"), {})
             machine.does(lambda: None if over else machine.asked(call.items, told))
 
         world.after(world.within(0.0005, 0.004), arrives)
--- a/tests/mesh/control_api/test_handlers.py
+++ b/tests/mesh/control_api/test_handlers.py
@@ -10,7 +10,7 @@
 from foxspread.mesh.control_api.handlers import ORDER_MOST, ControlApi, ReadinessApi
 from foxspread.mesh.control_api.instances import InstancesResource
 from foxspread.mesh.registry.incarnations import DRAINING, InstanceTable
-from foxspread.mesh.errors import conflict, outcome_unknown
+from foxspread.mesh.errors import Conflict, OutcomeUnknown
 from tests.mesh.helpers import OnLoop, Transport, header, rule, statuses
 
 BEAT = {"service": "s1", "address": "10.0.0.9:8080", "zone": "z", "edition": "v1", "berths": 12,
@@ -100,7 +100,7 @@
     def test_configuration(self):
         # Guards: nothing invalid reaches the disk; the outcome goes back as it is; one without a disk reads
         # nothing and names another, with the whole path.
-        for outcome, wanted in ((True, 200), (conflict("no"), 409), (outcome_unknown("later"), 503)):
+        for outcome, wanted in ((True, 200), (Conflict("no"), 409), (OutcomeUnknown("later"), 503)):
             replica_server = Keeper(self.loop, outcome)
             self.desk.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
--- a/tests/mesh/simulation/test_invariants.py
+++ b/tests/mesh/simulation/test_invariants.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.errors import conflict, outcome_unknown
+from foxspread.mesh.errors import Conflict, OutcomeUnknown
 from foxspread.mesh.simulation.invariants import BACK_S, FRESH_S, PAST_KEPT, Call, Judge
 from tests.mesh.replication.scripted_replicas import route, service
 
@@ -38,7 +38,7 @@
 
 def refused(*seen: Item) -> Judge:
     judge = shows(("a", *seen))
-    call(judge, conflict("another"), V1)
+    call(judge, Conflict("another"), V1)
     judge.close()
     return judge
 
@@ -117,16 +117,16 @@
             ),
             "confirmed, another was in force": (told((True, OTHER), seen=(V1, V2)), "one content"),
             "overtaken, confirmed again": (told((True, V1), (True, V2), (True, V1)), None),
-            "overtaken, no clear answer": (told((True, V1), (True, V2), (outcome_unknown(""), V1)), None),
-            "taken, then refused": (told((True, V1), (True, V2), (conflict(""), V1)), "one answer"),
-            "refused, then taken": (told((conflict(""), V1), (True, V1)), "one answer"),
-            "refused twice": (told((conflict(""), V1), (conflict(""), V1)), None),
+            "overtaken, no clear answer": (told((True, V1), (True, V2), (OutcomeUnknown(""), V1)), None),
+            "taken, then refused": (told((True, V1), (True, V2), (Conflict(""), V1)), "one answer"),
+            "refused, then taken": (told((Conflict(""), V1), (True, V1)), "one answer"),
+            "refused twice": (told((Conflict(""), V1), (Conflict(""), V1)), None),
             "refused, in force by a late copy": (
-                told((conflict(""), V1, V2), (None, V1, V2), seen=(V1,)),
+                told((Conflict(""), V1, V2), (None, V1, V2), seen=(V1,)),
                 "refused is nowhere",
             ),
             "refused, in force by another order": (
-                told((conflict(""), V1, V2), (True, V1), seen=(V1,)),
+                told((Conflict(""), V1, V2), (True, V1), seen=(V1,)),
                 None,
             ),
             "shows old": (tells(1.0, 1.0 + FRESH_S, service(version=0)), "nothing old"),
@@ -155,6 +155,6 @@
 
     def test_a_call_without_a_clear_answer_may_be_in_force(self) -> None:
         judge = shows(("a", V1))
-        call(judge, outcome_unknown("no majority"), V1)
+        call(judge, OutcomeUnknown("no majority"), V1)
         judge.close()
         self.assertEqual([], judge.breaks)
--- a/tests/mesh/test_node.py
+++ b/tests/mesh/test_node.py
@@ -4,7 +4,6 @@
 import copy as copy_module
 import io
 import json
-import logging
 import os
 import pathlib
 import tempfile
@@ -43,7 +42,7 @@
         self.enterContext(mock.patch.dict(os.environ, {FILE_VARIABLE: str(self.path)}))
         self.lines = io.StringIO()
         log.configure_logging("side-1")
-        log.LOGGER.handlers[:] = [logging.StreamHandler(self.lines)]
+        log.LOGGER.handlers[0].setStream(self.lines)
 
     def told(self, **changes: object) -> None:
         self.path.write_text(json.dumps({**copy_module.deepcopy(FILE), **changes}))
