--- a/foxspread/mesh/configuration/__init__.py
+++ b/foxspread/mesh/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: read, checked, held as items that each carry a version. Pure."""
+"""The operator's configuration: parsed, validated and admitted as items that each carry a version. No I/O."""
--- a/foxspread/mesh/configuration/idempotency.py
+++ b/foxspread/mesh/configuration/idempotency.py
@@ -1,172 +1,161 @@
-"""What becomes of an order: one content for each number, one answer for each order. Pure.
+"""What becomes of a change: one content for each version, one answer for each change.
 
-An item remembers what was confirmed under its lower versions, by digest, and an order that was refused stays
-refused, by the digest of the whole. Both are part of the agreed set, so whoever judges an order meets what
-was told about it before, however late and wherever it comes again. docs/design/orders.md has the table of
-answers.
+An item remembers what was confirmed under its lower versions, by digest, and a change that was refused stays
+refused, by the digest of the whole (an idempotency key that the content gives). Both are part of the agreed
+state, so whichever replica admits a change meets what was answered to it before, however late and wherever
+it comes again. docs/design/orders.md has the table of answers, and why other ways were not taken.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 from hashlib import blake2b
-from typing import Any
+from typing import Any, Literal, NamedTuple
 
 import orjson
 
+from foxspread.mesh.configuration.consistency import find_inconsistency
 from foxspread.mesh.configuration.items import (
-    KEPT,
+    COMPACTION,
     LEASE,
     MEMBERS,
+    OPERATOR_KINDS,
     REFUSED,
-    THEIRS,
     Item,
     Key,
-    Past,
-    consistent,
+    SupersededVersions,
 )
-from foxspread.mesh.errors import Failure, Conflict, OutcomeUnknown
+from foxspread.mesh.configuration.retention import (
+    Refusal,
+    collectable,  # noqa: F401  # its former place, until the last caller has gone over
+    items_of_refusal,
+    tombstone_floor,
+)
+from foxspread.mesh.errors import Conflict, Failure, OutcomeUnknown, failure_of_status
+
+MAX_SUPERSEDED_VERSIONS = 32  # of one item that keep a digest; some 1.2 KB with each item
+MAX_EXACT_INTEGER = 2**53  # up to it a float is an integer exactly (IEEE 754)
+DIGEST_BYTES = 10  # two contents that share a digest: 2^-80 a pair
+COMPARE_AND_SET_KINDS = frozenset({MEMBERS, LEASE, COMPACTION})  # each version follows the one before it
+
 
-PAST_MOST = 32  # lower versions of an item that are told apart; below them nothing is confirmed nor refused
-REFUSED_MOST = 4096  # orders known to be refused; with more, a refusal has to wait
-REFUSED_KEPT_S = 3600.0  # by the agreed clock: longer than any copy of an order may be under way
-DROPPED_MOST = 20_000  # items that are dropped and known as such
-DROPPED_REST = 15_000  # that stay known when the oldest are collected
-WHOLE_MOST = 2**53  # up to there a whole number is one number, however it is written
-ANYHOW = frozenset({MEMBERS, LEASE, KEPT})  # changed by compare and set
+class ChangeResult(NamedTuple):
+    """What is to be committed for a change, and what its sender is answered once it is."""
 
+    changes: dict[Key, Item]
+    outcome: Literal[True] | Failure
 
-def _plain(value: Any) -> Any:
-    """2.0 and 2 are one number, as they are where contents are compared."""
-    if isinstance(value, float) and abs(value) <= WHOLE_MOST and value.is_integer():
+
+def _with_exact_integers(value: Any) -> Any:
+    """The value with 2.0 as 2: they are one number, as they are where contents are compared."""
+    if isinstance(value, float) and abs(value) <= MAX_EXACT_INTEGER and value.is_integer():
         return int(value)
     if isinstance(value, dict):
-        return {name: _plain(each) for name, each in value.items()}
+        return {name: _with_exact_integers(each) for name, each in value.items()}
     if isinstance(value, list | tuple):
-        return [_plain(each) for each in value]
+        return [_with_exact_integers(each) for each in value]
     return value
 
 
 def _digest(value: Any) -> str:
-    return blake2b(orjson.dumps(_plain(value), option=orjson.OPT_SORT_KEYS), digest_size=10).hexdigest()
+    text = orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
+    return blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def digest(item: Item) -> str:
-    """Of what it holds."""
-    return _digest(item.content)
+def digest_of_content(item: Item) -> str:
+    """The same for contents that compare as equal, however their numbers are written."""
+    return _digest(_with_exact_integers(item.content))
 
 
 def digest_of_change(items: Iterable[Item]) -> str:
-    """Whatever the order in which its items stand; copies of an order are alike to the byte but for that."""
-    rows = sorted((each.packed()[:4] for each in items), key=lambda row: row[:3])
-    return blake2b(orjson.dumps(rows, option=orjson.OPT_SORT_KEYS), digest_size=10).hexdigest()
-
-
-def is_superseded(there: Item) -> Past:
-    """What the next version of an item remembers of this one, and of those before."""
-    return _noted(there.past, there.version, digest(there))
-
-
-def _noted(past: Past, version: int, what: str) -> Past:
-    floor, known = past
-    rows = sorted([*known, (version, what)])
-    if len(rows) > PAST_MOST:
-        floor = max(floor, rows[-PAST_MOST - 1][0])
-        rows = rows[-PAST_MOST:]
-    return floor, tuple(rows)
-
-
-def merge(held: Mapping[Key, Item], order: Iterable[Item]) -> dict[Key, Item] | Failure:
-    """What an order changes: items that are newer, and items that are to remember that an older version of
-    theirs was confirmed. A failure where another content was confirmed under a number (for good), or where it
-    can't be known any more (no clear answer)."""
-    newer: dict[Key, Item] = {}
-    for item in order:
-        there = newer.get(item.key) or held.get(item.key)
-        if item.kind in ANYHOW:
-            if item.version != (there.version if there is not None else 0) + 1:
-                return Conflict(f"{item.kind} {item.name}: r{item.version} does not follow what holds")
-            newer[item.key] = item
-        elif there is None:
-            if item.version <= _floor_of_dropped(held):
-                return OutcomeUnknown(
-                    f"{item.kind} {item.name}: what held up to r{item.version} is not known"
-                )
-            newer[item.key] = item
-        elif item.version > there.version:
-            newer[item.key] = replace(item, past=is_superseded(there))
-        elif item.version == there.version:
-            if item.content != there.content:
-                return Conflict(f"{item.kind} {item.name}: r{item.version} holds another content")
-        else:
-            floor, known = there.past
-            if item.version <= floor:
-                return OutcomeUnknown(
-                    f"{item.kind} {item.name}: what r{item.version} held is not known any more"
-                )
-            before, what = dict(known).get(item.version), digest(item)
-            if before is None:
-                newer[item.key] = replace(there, past=_noted(there.past, item.version, what))
-            elif before != what:
-                return Conflict(f"{item.kind} {item.name}: r{item.version} held another content")
-    return newer
+    """The same in whatever order the items are; otherwise repetitions of a change are alike to the byte."""
+    return _digest(sorted((each.packed()[:4] for each in items), key=lambda row: row[:3]))
+
 
+def superseded_with(item: Item) -> SupersededVersions:
+    """What the next version of an item remembers: this version, and what this one remembers."""
+    return _with_version(item.superseded, item.version, digest_of_content(item))
 
-def _floor_of_dropped(held: Mapping[Key, Item]) -> int:
-    kept = held.get((KEPT, "dropped"))
-    return kept.content["floor"] if kept is not None else 0
+
+def _with_version(before: SupersededVersions, version: int, digest: str) -> SupersededVersions:
+    floor, rows = before.floor, sorted([*before.digests, (version, digest)])
+    if len(rows) > MAX_SUPERSEDED_VERSIONS:
+        floor = max(floor, rows[-MAX_SUPERSEDED_VERSIONS - 1][0])
+        rows = rows[-MAX_SUPERSEDED_VERSIONS:]
+    return SupersededVersions(floor, tuple(rows))
+
+
+def merge(current: Mapping[Key, Item], change: Iterable[Item]) -> dict[Key, Item] | Failure:
+    """The items that a change makes newer, and those that are to remember a confirmed older version.
+
+    A `Conflict` where another content was confirmed under a version; `OutcomeUnknown` where that can't be
+    known any more.
+    """
+    merged: dict[Key, Item] = {}
+    for item in change:
+        before = merged.get(item.key) or current.get(item.key)
+        if item.kind in COMPARE_AND_SET_KINDS:
+            result = _compare_and_set(before, item)
+        elif before is None:
+            result = _added(current, item)
+        else:
+            result = _superseding(before, item)
+        if isinstance(result, Failure):
+            return result
+        if result is not None:
+            merged[item.key] = result
+    return merged
+
+
+def _compare_and_set(before: Item | None, item: Item) -> Item | Conflict:
+    if item.version != (before.version if before is not None else 0) + 1:
+        return Conflict(f"{item.kind} {item.name}: r{item.version} does not follow what holds")
+    return item
+
+
+def _added(current: Mapping[Key, Item], item: Item) -> Item | OutcomeUnknown:
+    """Of a name that is not known: it may have been dropped and collected up to the floor of tombstones."""
+    if item.version <= tombstone_floor(current):
+        return OutcomeUnknown(f"{item.kind} {item.name}: what held up to r{item.version} is not known")
+    return item
+
+
+def _superseding(before: Item, item: Item) -> Item | None | Failure:
+    """The item as it is to be from now on; None where it stays as it is."""
+    if item.version > before.version:
+        return replace(item, superseded=superseded_with(before))
+    if item.version == before.version:
+        if item.content != before.content:
+            return Conflict(f"{item.kind} {item.name}: r{item.version} holds another content")
+        return None
+    if item.version <= before.superseded.floor:
+        return OutcomeUnknown(f"{item.kind} {item.name}: what r{item.version} held is not known any more")
+    confirmed, digest = before.superseded.digest_of(item.version), digest_of_content(item)
+    if confirmed is None:
+        return replace(before, superseded=_with_version(before.superseded, item.version, digest))
+    if confirmed != digest:
+        return Conflict(f"{item.kind} {item.name}: r{item.version} held another content")
+    return None
 
 
 def apply_change(
-    held: Mapping[Key, Item], order: list[Item], named: str, clock: float
-) -> tuple[dict[Key, Item], bool | Failure]:
-    """What is to be settled for an order, and what its operator is told once it is. `named`: its digest;
-    `clock`: the agreed one. An order that is invalid beside what holds is settled as refused."""
-    if (refused := held.get((REFUSED, named))) is not None:
-        status, reason, _ = refused.content
-        return {}, Failure(reason, status)
-    newer = merge(held, order)
-    if isinstance(newer, Failure):
-        return {}, newer
-    theirs = {key: item for key, item in newer.items() if item.kind in THEIRS}
-    against = consistent(held, theirs) if theirs else None
-    if against is None:
-        return newer, True
-    rows = refusals(held, named, against, clock)
-    if isinstance(rows, Failure):
-        return {}, rows
-    return rows, against
-
-
-def refusals(
-    held: Mapping[Key, Item], named: str, against: Failure, clock: float
-) -> dict[Key, Item] | Failure:
-    """The items by which an order is known as refused, old ones collected; a failure where too many are
-    known: one that is not remembered would be no refusal."""
-    known = [item.content[2] for item in held.values() if item.kind == REFUSED]
-    rows = {
-        (REFUSED, named): Item(REFUSED, named, 1, [against.status, against.reason[:200], round(clock, 3)])
-    }
-    least = clock - REFUSED_KEPT_S
-    if len(known) >= REFUSED_MOST // 8 and min(known) < least:
-        before = held.get((KEPT, REFUSED))
-        version = before.version + 1 if before is not None else 1
-        rows[KEPT, REFUSED] = Item(KEPT, REFUSED, version, {"t": round(least, 3)})
-        known = [t for t in known if t >= least]
-    if len(known) >= REFUSED_MOST:
-        return OutcomeUnknown("too many orders were refused within the last hour to remember another")
-    return rows
-
-
-def collectable(held: Mapping[Key, Item], at: Mapping[Key, tuple]) -> dict[Key, Item]:
-    """The item by which the oldest of too many dropped items are forgotten; `at`: by key, the ballot at which
-    each changed. Below its floor an unknown name is neither confirmed nor refused any more."""
-    dropped = [item for item in held.values() if item.kind in THEIRS and item.content is None]
-    if len(dropped) <= DROPPED_MOST:
-        return {}
-    dropped.sort(key=lambda item: (at[item.key], item.version))
-    oldest = dropped[: len(dropped) - DROPPED_REST]
-    before = held.get((KEPT, "dropped"))
-    floor = max([item.version for item in oldest] + ([before.content["floor"]] if before else []))
-    proposal_number = max(at[item.key] for item in oldest)
-    version = before.version + 1 if before is not None else 1
-    return {(KEPT, "dropped"): Item(KEPT, "dropped", version, {"floor": floor, "at": list(proposal_number)})}
+    current: Mapping[Key, Item], items: list[Item], digest: str, agreed_clock: float
+) -> ChangeResult:
+    """What is to be committed for a change to the current items, and its answer.
+
+    `digest` is `digest_of_change(items)`, `agreed_clock` in seconds. A change that contradicts the current
+    items is committed as refused: a late repetition must not come into force when it has become valid.
+    """
+    if (stored := current.get((REFUSED, digest))) is not None:
+        refusal = Refusal.of(stored)
+        return ChangeResult({}, failure_of_status(refusal.status, refusal.reason))
+    changes = merge(current, items)
+    if isinstance(changes, Failure):
+        return ChangeResult({}, changes)
+    by_operator = {key: item for key, item in changes.items() if item.kind in OPERATOR_KINDS}
+    inconsistency = find_inconsistency(current, by_operator) if by_operator else None
+    if inconsistency is None:
+        return ChangeResult(changes, True)
+    refusal_items = items_of_refusal(current, digest, inconsistency, agreed_clock)
+    if isinstance(refusal_items, Failure):
+        return ChangeResult({}, refusal_items)
+    return ChangeResult(refusal_items, inconsistency)
--- a/foxspread/mesh/configuration/items.py
+++ b/foxspread/mesh/configuration/items.py
@@ -1,114 +1,93 @@
-"""Items: each route, each service and the one `limits` has a name, a version and a content, or was dropped
-at a version. The highest version holds, whether it sets or drops; a dropped item stays as such, since an
-older change may still arrive.
+"""Items: the unit in which the configuration changes, is agreed on and is stored.
+
+Each route, each service and the one `limits` has a name, a version and a content, or is a tombstone: it was
+dropped at a version. The highest version is in force, whether it sets or drops; a tombstone stays, since an
+older change may still arrive (last writer wins by version, as in a version register of a key-value store).
+
+The rows that `packed` makes are on the wire and on disk: kinds, order and spelling are fixed.
 """
 
-from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
-
-from foxspread.mesh.errors import Failure, InvalidRequest
+from typing import Any, NamedTuple
 
 Key = tuple[str, str]  # kind and name
-ROUTE, SERVICE, LIMITS = "route", "service", "limits"  # the operator's
-MEMBERS, LEASE, REFUSED, KEPT = "members", "lease", "refused", "kept"  # the system's own
-THEIRS = frozenset({ROUTE, SERVICE, LIMITS})
-FOR_ALL = THEIRS | {MEMBERS}  # what sidecars without a disk are told, and of KEPT what was dropped
-Past = tuple[int, tuple[tuple[int, str], ...]]  # a floor; above it, versions that were confirmed, by digest
-NO_PAST: Past = (0, ())
+
+# Kinds that the operator sets.
+ROUTE, SERVICE, LIMITS = "route", "service", "limits"
+OPERATOR_KINDS = frozenset({ROUTE, SERVICE, LIMITS})
+# Kinds that the mesh sets itself. COMPACTION items say what was forgotten of tombstones and of refusals.
+MEMBERS, LEASE, REFUSED, COMPACTION = "members", "lease", "refused", "kept"
+SIDECAR_KINDS = OPERATOR_KINDS | {MEMBERS}  # sent to processes without a disk, besides collected tombstones
+
+# Names of the COMPACTION items, and the keys of their contents.
+TOMBSTONES, REFUSALS = "dropped", "refused"
+FLOOR, COLLECTED_AT = "floor", "at"  # of TOMBSTONES: a version; a proposal number
+REFUSED_BEFORE = "t"  # of REFUSALS: seconds of the agreed clock
+
+
+class SupersededVersions(NamedTuple):
+    """What was confirmed under versions of an item below its own.
+
+    Nothing is known of versions up to `floor`; above it `digests` has each version that was confirmed, with
+    the digest of its content, in ascending order.
+    """
+
+    floor: int = 0
+    digests: tuple[tuple[int, str], ...] = ()
+
+    def digest_of(self, version: int) -> str | None:
+        """The digest that was confirmed under that version, where it is known."""
+        return dict(self.digests).get(version)
+
+
+NONE_SUPERSEDED = SupersededVersions()
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
+    """One version of one part of the configuration."""
+
     kind: str
     name: str
     version: int
-    content: Any  # as it was sent; of a route with its host; None: dropped
-    past: Past = NO_PAST  # what was confirmed under lower versions; on machines with a disk only
+    content: Any  # JSON as the operator sent it, of a route with its host; None: dropped
+    superseded: SupersededVersions = NONE_SUPERSEDED  # on replicas only: sidecars admit no changes
 
     @property
     def key(self) -> Key:
+        """What identifies the item over its versions."""
         return self.kind, self.name
 
+    @property
+    def without_history(self) -> "Item":
+        """As processes get it that admit no changes."""
+        if self.superseded == NONE_SUPERSEDED:
+            return self
+        return Item(self.kind, self.name, self.version, self.content)
+
     @property
     def bare(self) -> "Item":
-        """As it is told to those that settle no calls."""
-        return self if self.past == NO_PAST else Item(self.kind, self.name, self.version, self.content)
+        """The former name of `without_history`."""
+        return self.without_history
 
     def packed(self) -> list:
+        """The row that is sent and stored."""
         row = [self.kind, self.name, self.version, self.content]
-        return row if self.past == NO_PAST else [*row, self.past]
+        return row if self.superseded == NONE_SUPERSEDED else [*row, list(self.superseded)]
 
 
 def unpack_item(row: list) -> Item:
-    past = row[4] if len(row) > 4 else NO_PAST
-    return Item(*row[:4], (past[0], tuple((version, digest) for version, digest in past[1])))
-
-
-def for_all(item: Item) -> bool:
-    """Whether machines without a disk are told of it."""
-    return item.kind in FOR_ALL or (item.kind == KEPT and item.name == "dropped")
-
-
-def services_of(content: Mapping[str, Any]) -> list[tuple[str, float]]:
-    """Services that a route names, with their weights."""
-    dispatch = content["rule"]["dispatch"]
-    if split := dispatch.get("consignments"):
-        return [(each["service"], each.get("weight", 1)) for each in split]
-    return [(dispatch["service"], 1)]
-
-
-def place_of(content: Mapping[str, Any]) -> tuple[str, str]:
-    return content["destination"].lower(), content["rule"]["sorting"]["postcode"]
-
-
-def consistent(held: Mapping[Key, Item], newer: Mapping[Key, Item]) -> Failure | None:
-    """Whether what is held may stand with these changes; None where it may, else what stands against it."""
-    if not newer:
-        return None
-
-    def stands(key: Key) -> bool:
-        item = newer.get(key) or held.get(key)
-        return item is not None and item.content is not None
-
-    for item in newer.values():
-        if item.kind == ROUTE and item.content is not None:
-            for service, _ in services_of(item.content):
-                if not stands((SERVICE, service)):
-                    return InvalidRequest(f"route {item.name}: unknown service {service!r}")
-    routes = [item for item in newer.values() if item.kind == ROUTE and item.content is not None]
-    gone = {item.name for item in newer.values() if item.kind == SERVICE and item.content is None}
-    if not routes and not gone:
-        return None
-    taken = {place_of(item.content): item.name for item in routes}
-    if len(taken) < len(routes):
-        return InvalidRequest("two routes of one call share host and prefix")
-    for key, item in held.items():
-        if key[0] != ROUTE or item.content is None or key in newer:
-            continue
-        if (other := taken.get(place_of(item.content))) is not None:
-            return InvalidRequest(f"route {other}: route {item.name} has that host and prefix")
-        if gone:
-            for service, _ in services_of(item.content):
-                if service in gone:
-                    return InvalidRequest(f"service {service}: route {item.name} goes there")
-    return None
-
-
-def laid_out(items: Iterable[Item]) -> dict[str, Any]:
-    """All that stand, as the first call's set is laid out."""
-    gates: dict[str, list] = {}
-    out: dict[str, Any] = {}
-    fleets = []
-    for item in sorted(items, key=lambda each: each.key):
-        if item.content is None or item.kind not in THEIRS:
-            continue
-        if item.kind == LIMITS:
-            out["limits"] = item.content
-        elif item.kind == SERVICE:
-            fleets.append(item.content)
-        else:
-            gates.setdefault(item.content["destination"], []).append(item.content["rule"])
-    out["gates"] = [{"destination": host, "regulations": rules} for host, rules in gates.items()]
-    out["fleets"] = fleets
-    return out
+    """The item of a row that `packed` made."""
+    if len(row) <= 4:
+        return Item(*row)
+    floor, digests = row[4][:2]
+    return Item(*row[:4], SupersededVersions(floor, tuple((version, digest) for version, digest in digests)))
+
+
+def is_for_sidecars(item: Item) -> bool:
+    """Whether processes without a disk get the item."""
+    return item.kind in SIDECAR_KINDS or (item.kind == COMPACTION and item.name == TOMBSTONES)
+
+
+# Former names, until the last caller has gone over.
+THEIRS, KEPT, for_all = OPERATOR_KINDS, COMPACTION, is_for_sidecars
--- a/foxspread/mesh/configuration/routes.py
+++ b/foxspread/mesh/configuration/routes.py
@@ -1,81 +1,122 @@
-"""Which route a request takes: of its host, the one with the longest prefix that begins the path. What a
-look-up costs grows with the depth of the path, not with the number of routes.
+"""The routing table: which route a request takes, and which service of it.
+
+Of the routes of its host, a request takes the one with the longest prefix, by whole path segments. A look-up
+costs by the depth of the path, not by the number of routes.
 """
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxspread.mesh.configuration.items import ROUTE, Item, Key, place_of, services_of
+from foxspread.mesh.configuration.document import (
+    DEADLINE_S,
+    FORWARDING,
+    IDEMPOTENCE,
+    IDEMPOTENT,
+    MAX_ATTEMPTS,
+    PRIORITY,
+    RULE,
+    TARGET_S,
+    RouteMatch,
+    WeightedService,
+    route_match,
+    weighted_services,
+)
+from foxspread.mesh.configuration.items import ROUTE, Item, Key
+
+DEFAULT_PRIORITY = 1  # the middle
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
+    """A route as requests take it."""
+
     name: str
     version: int
-    safe: bool  # may run more than once
-    aim: float  # seconds; within this an answer earns its full worth
-    deadline: float  # seconds, for which it may be held at the longest
-    attempts: int  # servers that one try may be sent to
+    safe: bool  # idempotent: a request may run more than once
+    aim: float  # latency target, seconds: an answer within it earns its full value
+    deadline: float  # seconds, for which a request may be held at the longest
+    attempts: int  # servers that one attempt may be sent to
     priority: int  # 0 is the highest
-    services: tuple[tuple[str, float], ...]  # with the share of each, up to and with it
+    services: tuple[tuple[str, float], ...]  # with the cumulative share of the requests, up to 1
 
     def service(self, draw: float) -> str:
-        """By random share; `draw` is from 0 up to 1."""
-        for name, committed_number in self.services:
-            if draw < committed_number:
+        """The service of a request, by weight; `draw`: a random number from 0 up to 1."""
+        for name, cumulative_share in self.services:
+            if draw < cumulative_share:
                 return name
         return self.services[-1][0]
 
 
 def route_of(item: Item) -> Route:
-    rule = item.content["rule"]
-    split = [(name, weight) for name, weight in services_of(item.content) if weight > 0]
-    total, committed_number, parts = sum(weight for _, weight in split), 0.0, []
-    for name, weight in split:
-        committed_number += weight / total
-        parts.append((name, committed_number))
-    dispatch = rule["dispatch"]
+    """The route that an item in force stands for."""
+    rule = item.content[RULE]
+    forwarding = rule[FORWARDING]
     return Route(
-        item.name,
-        item.version,
-        rule["mail_class"] == "safe",
-        float(rule.get("target_s") or dispatch["deadline_s"]),
-        float(dispatch["deadline_s"]),
-        int(dispatch["delivery_attempts"]),
-        int(rule.get("priority", 1)),
-        tuple(parts),
+        name=item.name,
+        version=item.version,
+        safe=rule[IDEMPOTENCE] == IDEMPOTENT,
+        aim=float(rule.get(TARGET_S) or forwarding[DEADLINE_S]),
+        deadline=float(forwarding[DEADLINE_S]),
+        attempts=int(forwarding[MAX_ATTEMPTS]),
+        priority=int(rule.get(PRIORITY, DEFAULT_PRIORITY)),
+        services=_cumulative_shares(weighted_services(item.content)),
     )
 
 
+def _cumulative_shares(services: Sequence[WeightedService]) -> tuple[tuple[str, float], ...]:
+    """The services that have a weight, each with its share and those before it."""
+    weighted = [service for service in services if service.weight > 0]
+    total, cumulative_share, shares = sum(service.weight for service in weighted), 0.0, []
+    for service in weighted:
+        cumulative_share += service.weight / total
+        shares.append((service.name, cumulative_share))
+    return tuple(shares)
+
+
 class RouteTable:
-    """A view of the items in force. A route is made of its item when it is first found: thousands that come
-    in one change must not hold up requests."""
+    """A view of the route items in force.
+
+    A route is made of its item when it is first found: thousands that come in one change must not hold up
+    requests.
+    """
 
     def __init__(self) -> None:
-        self.hosts: dict[str, dict[str, Route | Item]] = {}
-        self.places: dict[Key, tuple[str, str]] = {}
+        self.by_host: dict[str, dict[str, Route | Item]] = {}  # by host, then by prefix
+        self.matches: dict[Key, RouteMatch] = {}  # of each route item in force
+
+    @property
+    def places(self) -> dict[Key, RouteMatch]:
+        """The former name of `matches`."""
+        return self.matches
 
     def put(self, item: Item) -> None:
+        """Takes over a newer version of an item; those that are no routes are ignored."""
         if item.kind != ROUTE:
             return
-        if (old := self.places.pop(item.key, None)) is not None:
-            there = self.hosts[old[0]]
-            if there.get(old[1]) is not None and there[old[1]].name == item.name:
-                del there[old[1]]  # else another route has taken the place in the same change
-                if not there:
-                    del self.hosts[old[0]]
+        if (old := self.matches.pop(item.key, None)) is not None:
+            self._remove(item.name, old)
         if item.content is not None:
-            host, prefix = self.places[item.key] = place_of(item.content)
-            self.hosts.setdefault(host, {})[prefix] = item
+            match = self.matches[item.key] = route_match(item.content)
+            self.by_host.setdefault(match.host, {})[match.prefix] = item
+
+    def _remove(self, name: str, match: RouteMatch) -> None:
+        routes = self.by_host[match.host]
+        route = routes.get(match.prefix)
+        if route is None or route.name != name:
+            return  # another route of the same change has that host and prefix by now
+        del routes[match.prefix]
+        if not routes:
+            del self.by_host[match.host]
 
     def find(self, host: str, path: str) -> Route | None:
         """`host` as the header has it, a port and capitals allowed; `path` without its query."""
-        there = self.hosts.get(host) or self.hosts.get(host.partition(":")[0].lower())
-        if there is None:
+        routes = self.by_host.get(host) or self.by_host.get(host.partition(":")[0].lower())
+        if routes is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            if (route := there.get(path[: end + 1])) is not None:
+            if (route := routes.get(path[: end + 1])) is not None:
                 if isinstance(route, Item):
-                    route = there[path[: end + 1]] = route_of(route)
+                    route = routes[path[: end + 1]] = route_of(route)
                 return route
         return None
--- a/foxspread/mesh/configuration/validation.py
+++ b/foxspread/mesh/configuration/validation.py
@@ -1,6 +1,10 @@
-"""A call of the operator, read whole and checked by cerberus, item by item, so that a large one can be
-checked in slices between other work. What is unclear is refused for good: nothing of it may come into
-force.
+"""Parsing and validation of a call that changes the configuration.
+
+The body is read whole, then validated by cerberus item by item, so that a large call can be validated in
+slices between other work. What is unclear is refused for good: nothing of the call may come into force.
+Validity that spans items is checked later, against the items in force (`consistency`).
+
+This module loads cerberus, so only replicas import it.
 """
 
 import re
@@ -10,208 +14,260 @@
 import orjson
 from cerberus import Validator
 
-from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item, place_of
-from foxspread.mesh.errors import Failure, InvalidRequest
+from foxspread.mesh.configuration.document import (
+    BODY_BYTES,
+    CONNECTION_CAP,
+    DEADLINE_S,
+    DROP,
+    DROPPED_ROUTES,
+    DROPPED_SERVICES,
+    FORWARDING,
+    GATES,
+    HEAD_BYTES,
+    HEAD_S,
+    HEALTH_PATH,
+    HOST,
+    IDEMPOTENCE,
+    IDEMPOTENT,
+    IDLE_S,
+    LIMITS_KEY,
+    MATCH,
+    MAX_ATTEMPTS,
+    NAME,
+    NOT_IDEMPOTENT,
+    PREFIX,
+    PRIORITY,
+    RULE,
+    RULES,
+    SERVICE_KEY,
+    SERVICES,
+    SET,
+    SPLIT,
+    TARGET_S,
+    VERSION,
+    WEIGHT,
+    RouteMatch,
+    route_match,
+)
+from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item, Key
+from foxspread.mesh.errors import InvalidRequest
+from foxspread.mesh.schema import abbreviated
+
+MAX_DEADLINE_S = 600.0  # ten minutes
+MAX_TARGET_OVER_DEADLINE_S = 60.0  # a latency target lies less than this over the deadline
+VERSION_FORM = re.compile(r"r([0-9]{1,15})")  # below 2^53, so exact in JSON
+MAX_NAME_CHARACTERS = 500
+MAX_GATE_CHARACTERS = 80  # of a malformed object that a reason quotes
+MAX_JSON_DEPTH = 254  # levels that orjson writes; it reads more
+RESERVED_DEPTH = 54  # of them, for the messages and rows in which an item is sent on
+ITEMS_BETWEEN_PAUSES = 8  # after so many, other work may go first
 
-LONGEST_S = 600.0  # a deadline may be so long
-AIM_OVER_S = 60.0  # and a target may lie less than this over it
-VERSION = re.compile(r"r([0-9]{1,15})")
+Step = Item | InvalidRequest
 
 
-def _whole(field: str, value: Any, error: Callable[[str, str], None]) -> None:
+def _is_no_flag(field: str, value: Any, error: Callable[[str, str], None]) -> None:
+    """cerberus counts true and false as integers."""
     if isinstance(value, bool):
         error(field, "must be of integer type")
 
 
-DEEPEST = 254  # levels that orjson writes
-ROOM = 54  # of them, for the messages and rows in which an item goes on
-_NAME = {"type": "string", "minlength": 1, "maxlength": 500, "required": True}
-_VERSION = {"type": "string", "regex": VERSION.pattern + r"\Z", "required": True}
-_SECONDS = {"type": "number", "min": 0, "max": LONGEST_S}
-RULE = {
-    "name": _NAME,
-    "mail_class": {"type": "string", "allowed": ["safe", "unsafe"], "required": True},
-    "target_s": {"type": "number", "min": 0},
-    "priority": {"type": "integer"},
-    "edition": _VERSION,
-    "sorting": {
-        "type": "dict",
-        "required": True,
-        "allow_unknown": True,
-        "schema": {"postcode": {"type": "string", "minlength": 1, "regex": "/.*", "required": True}},
-    },
-    "dispatch": {
-        "type": "dict",
-        "required": True,
-        "allow_unknown": True,
-        "schema": {
-            "service": {"type": "string", "minlength": 1},
-            "consignments": {
-                "type": "list",
-                "minlength": 1,
-                "schema": {
-                    "type": "dict",
-                    "allow_unknown": True,
-                    "schema": {"service": _NAME, "weight": {"type": "number", "min": 0}},
-                },
-            },
-            "deadline_s": {**_SECONDS, "required": True},
-            "delivery_attempts": {"type": "integer", "check_with": _whole, "min": 1, "required": True},
-        },
+_NAME_RULE = {"type": "string", "minlength": 1, "maxlength": MAX_NAME_CHARACTERS, "required": True}
+_VERSION_RULE = {"type": "string", "regex": VERSION_FORM.pattern + r"\Z", "required": True}
+_DEADLINE_RULE = {"type": "number", "min": 0, "max": MAX_DEADLINE_S, "required": True}
+_SPLIT_SCHEMA = {SERVICE_KEY: _NAME_RULE, WEIGHT: {"type": "number", "min": 0}}
+_FORWARDING_SCHEMA = {
+    SERVICE_KEY: {"type": "string", "minlength": 1},
+    SPLIT: {
+        "type": "list",
+        "minlength": 1,
+        "schema": {"type": "dict", "allow_unknown": True, "schema": _SPLIT_SCHEMA},
     },
+    DEADLINE_S: _DEADLINE_RULE,
+    MAX_ATTEMPTS: {"type": "integer", "check_with": _is_no_flag, "min": 1, "required": True},
 }
-FLEET = {
-    "name": _NAME,
-    "edition": _VERSION,
-    "health": {"type": "string"},
-    "connection_cap": {"type": "number", "min": 0},
+_MATCH_SCHEMA = {PREFIX: {"type": "string", "minlength": 1, "regex": "/.*", "required": True}}
+RULE_SCHEMA = {
+    NAME: _NAME_RULE,
+    IDEMPOTENCE: {"type": "string", "allowed": [IDEMPOTENT, NOT_IDEMPOTENT], "required": True},
+    TARGET_S: {"type": "number", "min": 0},
+    PRIORITY: {"type": "integer"},
+    VERSION: _VERSION_RULE,
+    MATCH: {"type": "dict", "required": True, "allow_unknown": True, "schema": _MATCH_SCHEMA},
+    FORWARDING: {"type": "dict", "required": True, "allow_unknown": True, "schema": _FORWARDING_SCHEMA},
 }
-SIZES = {
-    "edition": _VERSION,
-    "envelope_bytes": {"type": "number", "min": 1},
-    "contents_bytes": {"type": "number", "min": 0},
-    "envelope_s": {"type": "number", "min": 0},
-    "idle_s": {"type": "number", "min": 0},
+SERVICE_SCHEMA = {
+    NAME: _NAME_RULE,
+    VERSION: _VERSION_RULE,
+    HEALTH_PATH: {"type": "string"},
+    CONNECTION_CAP: {"type": "number", "min": 0},
 }
-DROP = {"name": _NAME, "edition": _VERSION}
-KINDS = {"routes": ROUTE, "services": SERVICE}
-
-_checks = {
-    name: Validator(schema, allow_unknown=True)
-    for name, schema in (("rule", RULE), ("fleet", FLEET), ("limits", SIZES), ("drop", DROP))
+LIMITS_SCHEMA = {
+    VERSION: _VERSION_RULE,
+    HEAD_BYTES: {"type": "number", "min": 1},
+    BODY_BYTES: {"type": "number", "min": 0},
+    HEAD_S: {"type": "number", "min": 0},
+    IDLE_S: {"type": "number", "min": 0},
 }
+TOMBSTONE_SCHEMA = {NAME: _NAME_RULE, VERSION: _VERSION_RULE}
+KIND_OF_DROPPED = {DROPPED_ROUTES: ROUTE, DROPPED_SERVICES: SERVICE}
 
+# Made once: a validator compiles its schema.
+_RULE, _SERVICE, _LIMITS, _TOMBSTONE = (
+    Validator(schema, allow_unknown=True)
+    for schema in (RULE_SCHEMA, SERVICE_SCHEMA, LIMITS_SCHEMA, TOMBSTONE_SCHEMA)
+)
 
-def describe_errors(errors: dict, data: Any) -> str:
-    """The first of cerberus's errors, as a path of keys, the value there and what is wrong with it."""
-    path, found = [], data
-    while isinstance(errors, dict) and errors:
-        key, rows = next(iter(errors.items()))
-        path.append(str(key))
-        try:
-            found = found[key]
-        except (KeyError, IndexError, TypeError):
-            found = None
-        errors = rows[-1] if rows else "is not to be understood"
-    text = repr(found)
-    return f"{'.'.join(path)}: {text if len(text) < 80 else text[:77] + '...'}: {errors}"
 
+def parse_call(body: bytes) -> Iterator[Step | None]:
+    """The items of a call, one a step; a None now and then, where other work may go first.
 
-def _shallow(call: dict) -> bool:
-    """Whether what it holds can be passed on: JSON can be read deeper than it can be written."""
-    wrapped: Any = call
-    for _ in range(ROOM):
-        wrapped = [wrapped]
+    An `InvalidRequest` is the last step: nothing of the call may be used.
+    """
+    call = _parse_body(body)
+    if isinstance(call, InvalidRequest):
+        yield call
+        return
+    to_set, to_drop = (_part_of(call, part, {}) for part in (SET, DROP))
+    if not isinstance(to_set, dict) or not isinstance(to_drop, dict):
+        yield InvalidRequest("lodge and withdraw must be objects")
+        return
+    duplicates = _DuplicateCheck()
+    for number, step in enumerate(_parse_items(to_set, to_drop)):
+        if isinstance(step, Item):
+            step = duplicates.check(step)
+        yield step
+        if isinstance(step, InvalidRequest):
+            return
+        if number % ITEMS_BETWEEN_PAUSES == ITEMS_BETWEEN_PAUSES - 1:
+            yield None
+
+
+def _parse_body(body: bytes) -> dict | InvalidRequest:
+    try:
+        call = orjson.loads(body)
+    except orjson.JSONDecodeError as error:
+        return InvalidRequest(f"the body can't be read whole: {error}")
+    if not isinstance(call, dict):
+        return InvalidRequest("the body must be an object")
+    if not _can_be_written(call):
+        depth = MAX_JSON_DEPTH - RESERVED_DEPTH
+        return InvalidRequest(f"the body can't be read whole: nested deeper than {depth} levels")
+    return call
+
+
+def _can_be_written(call: dict) -> bool:
+    """Whether its items can be sent on: JSON can be read deeper than it can be written."""
+    nested: Any = call
+    for _ in range(RESERVED_DEPTH):
+        nested = [nested]
     try:
-        orjson.dumps(wrapped)
+        orjson.dumps(nested)
     except TypeError:
         return False
     return True
 
 
-def version(text: str) -> int:
-    return int(VERSION.fullmatch(text)[1])
+class _DuplicateCheck:
+    """Refuses two items of one call that contradict each other."""
 
+    def __init__(self) -> None:
+        self.items: dict[Key, Item] = {}
+        self.routes: dict[RouteMatch, str] = {}  # names
 
-def parse_call(body: bytes) -> Iterator[Item | Failure | None]:
-    """The items of a call, one a step, with a None now and then where others may go first; a failure is the
-    last step."""
-    try:
-        call = orjson.loads(body)
-    except orjson.JSONDecodeError as error:
-        yield InvalidRequest(f"the body can't be read whole: {error}")
-        return
-    if not isinstance(call, dict):
-        yield InvalidRequest("the body must be an object")
-        return
-    if not _shallow(call):
-        yield InvalidRequest(f"the body can't be read whole: nested deeper than {DEEPEST - ROOM} levels")
-        return
-    lodged, dropped = (_part(call, word, {}) for word in ("lodge", "withdraw"))
-    if not isinstance(lodged, dict) or not isinstance(dropped, dict):
-        yield InvalidRequest("lodge and withdraw must be objects")
-        return
-    seen: dict[Any, Item] = {}
-    places: dict[Any, str] = {}
-    for number, found in enumerate(_steps(lodged, dropped)):
-        if isinstance(found, Failure):
-            yield found
-            return
-        if found.key in seen and seen[found.key] != found:
-            yield InvalidRequest(f"{found.kind} {found.name}: named twice in one call")
-            return
-        seen[found.key] = found
-        if (
-            found.kind == ROUTE
-            and found.content is not None
-            and places.setdefault(place_of(found.content), found.name) != found.name
-        ):
-            yield InvalidRequest(
-                f"route {found.name}: route {places[place_of(found.content)]} has that host and prefix"
-            )
-            return
-        yield found
-        if number % 8 == 7:
-            yield None
+    def check(self, item: Item) -> Step:
+        if self.items.setdefault(item.key, item) != item:
+            return InvalidRequest(f"{item.kind} {item.name}: named twice in one call")
+        if item.kind == ROUTE and item.content is not None:
+            other = self.routes.setdefault(route_match(item.content), item.name)
+            if other != item.name:
+                return InvalidRequest(f"route {item.name}: route {other} has that host and prefix")
+        return item
 
 
-def _part(holder: dict, word: str, empty: Any) -> Any:
-    """What is left out is empty; what is there may be anything."""
-    found = holder.get(word)
-    return empty if found is None else found
+def _part_of(parent: dict, key: str, default: Any) -> Any:
+    """A part that is left out, or null, is empty; one that is there may be anything."""
+    part = parent.get(key)
+    return default if part is None else part
 
 
-def _steps(lodged: dict, dropped: dict) -> Iterator[Item | Failure]:
-    fleets, gates = (_part(lodged, word, []) for word in ("fleets", "gates"))
-    if not isinstance(fleets, list) or not isinstance(gates, list):
+def _parse_items(to_set: dict, to_drop: dict) -> Iterator[Step]:
+    services, gates = (_part_of(to_set, key, []) for key in (SERVICES, GATES))
+    if not isinstance(services, list) or not isinstance(gates, list):
         yield InvalidRequest("lodge: gates and fleets must be lists")
         return
-    if (limits := lodged.get("limits")) is not None:
-        yield _one("limits", "limits", limits, lambda each: _item(LIMITS, LIMITS, each, each))
-    for fleet in fleets:
-        yield _one("fleet", "fleets", fleet, lambda each: _item(SERVICE, each["name"], each, each))
+    if (limits := to_set.get(LIMITS_KEY)) is not None:
+        yield _validated(_LIMITS, LIMITS_KEY, limits, lambda row: _item(LIMITS, LIMITS, row, row))
+    for service in services:
+        yield _validated(_SERVICE, SERVICES, service, lambda row: _item(SERVICE, row[NAME], row, row))
     for gate in gates:
-        host = gate.get("destination") if isinstance(gate, dict) else None
-        if not isinstance(host, str) or not host or not isinstance(gate.get("regulations", []), list):
-            yield InvalidRequest(f"gates: {str(gate)[:80]}: wants a destination and a list of regulations")
-            return
-        for rule in gate.get("regulations", []):
-            yield _one("rule", f"gates.{host}", rule, lambda each, host=host: _sensible(host, each))
-    for word, kind in KINDS.items():
-        rows = _part(dropped, word, [])
-        if not isinstance(rows, list):
-            yield InvalidRequest(f"withdraw.{word}: must be a list")
-            return
-        for row in rows:
-            yield _one(
-                "drop", f"withdraw.{word}", row, lambda each, kind=kind: _item(kind, each["name"], each, None)
-            )
+        yield from _parse_gate(gate)
+    for part, kind in KIND_OF_DROPPED.items():
+        yield from _parse_dropped(to_drop, part, kind)
+
+
+def _parse_gate(gate: Any) -> Iterator[Step]:
+    """The routes of one host."""
+    host = gate.get(HOST) if isinstance(gate, dict) else None
+    if not isinstance(host, str) or not host or not isinstance(gate.get(RULES, []), list):
+        text = str(gate)[:MAX_GATE_CHARACTERS]
+        yield InvalidRequest(f"gates: {text}: wants a destination and a list of regulations")
+        return
+    for rule in gate.get(RULES, []):
+        yield _validated(_RULE, f"{GATES}.{host}", rule, lambda row: _parse_rule(host, row))
+
+
+def _parse_dropped(to_drop: dict, part: str, kind: str) -> Iterator[Step]:
+    rows = _part_of(to_drop, part, [])
+    if not isinstance(rows, list):
+        yield InvalidRequest(f"withdraw.{part}: must be a list")
+        return
+    for row in rows:
+        yield _validated(_TOMBSTONE, f"{DROP}.{part}", row, lambda row: _item(kind, row[NAME], row, None))
 
 
 def _item(kind: str, name: str, row: dict, content: dict | None) -> Item:
-    return Item(kind, name, version(row["edition"]), content)
-
-
-def _one(check: str, where: str, found: Any, make: Callable[[dict], Item | Failure]) -> Item | Failure:
-    if not isinstance(found, dict):
-        return InvalidRequest(f"{where}: {str(found)[:80]}: must be an object")
-    validator = _checks[check]
-    if not validator.validate(found, normalize=False):
-        return InvalidRequest(f"{where} {found.get('name', '')}: {describe_errors(validator.errors, found)}")
-    return make(found)
-
-
-def _sensible(host: str, rule: dict) -> Item | Failure:
-    """What no schema can say of a route."""
-    name, dispatch = rule["name"], rule["dispatch"]
-    if dispatch["deadline_s"] <= 0:
-        return InvalidRequest(f"route {name}: deadline_s: {dispatch['deadline_s']}: must be over 0")
-    if rule.get("target_s", 0) >= dispatch["deadline_s"] + AIM_OVER_S:
-        return InvalidRequest(
-            f"route {name}: target_s: {rule['target_s']}: a minute or more over its deadline_s"
-        )
-    if ("service" in dispatch) == ("consignments" in dispatch):
+    return Item(kind, name, version(row[VERSION]), content)
+
+
+def version(text: str) -> int:
+    """The number of a version as the operator writes it: `r7`."""
+    return int(VERSION_FORM.fullmatch(text)[1])
+
+
+def _validated(validator: Validator, where: str, row: Any, parse: Callable[[dict], Step]) -> Step:
+    """The item that `parse` makes of a row, or what its schema says against it."""
+    if not isinstance(row, dict):
+        return InvalidRequest(f"{where}: {str(row)[:MAX_GATE_CHARACTERS]}: must be an object")
+    if not validator.validate(row, normalize=False):
+        return InvalidRequest(f"{where} {row.get(NAME, '')}: {describe_errors(validator.errors, row)}")
+    return parse(row)
+
+
+def describe_errors(errors: dict, data: Any) -> str:
+    """The first of cerberus's errors, as a path of keys, the value there and what is wrong with it."""
+    path, value = [], data
+    while isinstance(errors, dict) and errors:
+        key, rows = next(iter(errors.items()))
+        path.append(str(key))
+        try:
+            value = value[key]
+        except (KeyError, IndexError, TypeError):
+            value = None
+        errors = rows[-1] if rows else "is not to be understood"
+    return f"{'.'.join(path)}: {abbreviated(value)}: {errors}"
+
+
+def _parse_rule(host: str, rule: dict) -> Step:
+    """The item of a rule that its schema accepts, after what no schema can say."""
+    name, forwarding = rule[NAME], rule[FORWARDING]
+    deadline_s = forwarding[DEADLINE_S]
+    if deadline_s <= 0:
+        return InvalidRequest(f"route {name}: deadline_s: {deadline_s}: must be over 0")
+    if rule.get(TARGET_S, 0) >= deadline_s + MAX_TARGET_OVER_DEADLINE_S:
+        target_s = rule[TARGET_S]
+        return InvalidRequest(f"route {name}: target_s: {target_s}: a minute or more over its deadline_s")
+    if (SERVICE_KEY in forwarding) == (SPLIT in forwarding):
         return InvalidRequest(f"route {name}: dispatch: wants a service or consignments")
-    if "consignments" in dispatch and sum(each.get("weight", 1) for each in dispatch["consignments"]) <= 0:
+    if SPLIT in forwarding and sum(each.get(WEIGHT, 1) for each in forwarding[SPLIT]) <= 0:
         return InvalidRequest(f"route {name}: consignments: no weight")
-    return _item(ROUTE, name, rule, {"destination": host, "rule": rule})
+    return _item(ROUTE, name, rule, {HOST: host, RULE: rule})
--- a/foxspread/mesh/control_api/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable
 
 from foxspread.mesh.control_api.handlers import Elsewhere
-from foxspread.mesh.configuration.items import Item, laid_out
+from foxspread.mesh.configuration.document import configuration_document
+from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure, OutcomeUnknown
 from foxspread.mesh.replication.replica_server import ReplicaServer
@@ -59,7 +60,11 @@
         if self.stale():
             return OutcomeUnknown(STOOD_STILL)
         outcome = await self.replica_server.submit([])
-        return laid_out(self.replica_server.acceptor.learner.items.values()) if outcome is True else outcome
+        return (
+            configuration_document(self.replica_server.acceptor.learner.items.values())
+            if outcome is True
+            else outcome
+        )
 
     def _on(self, call: str) -> Failure | Elsewhere:
         place = self.elsewhere()
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -11,7 +11,7 @@
 import traceback
 from typing import Any
 
-from foxspread.mesh.event_log import Event, EventKind, EventLog
+from foxspread.mesh.event_log import Event, EventLog
 from foxspread.mesh.dataplane.caller import CallerDesk
 from foxspread.mesh.dataplane.errand import Steering
 from foxspread.mesh.dataplane.hop import Hop, HopDesk
@@ -81,8 +81,8 @@
         # State: what is settled, who says what of itself.
         self.table, self.records, self.upstreams = RouteTable(), EndpointRecords(), None
         self.upstreams = Upstreams(self.records)
-        self.event_log.subscribe(EventKind.ITEMS_COMMITTED, self._fold_items)
-        self.event_log.subscribe(EventKind.RECORD_UPDATED, self._fold_record)
+        self.event_log.view("settled", self._fold_items)
+        self.event_log.view("record", self._fold_record)
         self.learner = Learner()
         self.replica_server: ReplicaServer | None = None
         self.reconfiguration: Reconfiguration | None = None
@@ -387,7 +387,7 @@
     def _on_committed(self, new: list[Item]) -> None:
         """Items in force that are new here, on a machine with a disk."""
         if new:
-            self.event_log.append(EventKind.ITEMS_COMMITTED, new)
+            self.event_log.append("settled", new)
         self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
         self.anti_entropy.dirty.add(COMMITTED_SET)
         self._soon()
@@ -437,7 +437,7 @@
     def _take_record(self, new: EndpointRecord) -> None:
         if self.records.take(self.clock(), new):
             self.anti_entropy.have(new.node, new.version)
-            self.event_log.append(EventKind.RECORD_UPDATED, new.node)
+            self.event_log.append("record", new.node)
             self._soon()
 
     async def _spread(self) -> bool:
@@ -663,7 +663,7 @@
                 rows = map(unpack_row, taken.rows)
                 take = self.learner.replace if taken.replaced else self.learner.fold
                 if new := take(taken.committed_number, rows):
-                    self.event_log.append(EventKind.ITEMS_COMMITTED, new)
+                    self.event_log.append("settled", new)
                 self.anti_entropy.have(COMMITTED_SET, self.learner.committed_number)
                 self.readiness.told(now, now, taken.age)
         self._soon()
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -17,7 +17,7 @@
 
 from foxspread.mesh.configuration.items import Item, Key, unpack_item
 from foxspread.mesh.configuration.idempotency import collectable, digest_of_change, apply_change
-from foxspread.mesh.errors import Failure, Conflict, OutcomeUnknown
+from foxspread.mesh.errors import Failure, conflict, outcome_unknown
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, Message, Write, sound
 from foxspread.mesh.replication.learner import ProposalNumber, unpack_proposal_number, unpack_row
 from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
@@ -138,7 +138,7 @@
         for calls in (self.waiting, self.running):
             for call in [each for each in calls if now >= each.until]:
                 calls.remove(call)
-                out.done.append((call.token, OutcomeUnknown("no majority in time")))
+                out.done.append((call.token, outcome_unknown("no majority in time")))
 
     def _begin(self, now: float, out: ProposerOutput) -> None:
         self.seen = max(self.seen, self.acceptor.promised[0], self.acceptor.learner.committed_number[0]) + 1
@@ -233,9 +233,9 @@
         acceptor, by_key = self.acceptor, {item.key: item for item in call.items}
         if (change := by_key.get(MEMBERS_KEY)) is not None:
             if MEMBERS_KEY in delta:
-                return {}, OutcomeUnknown("another change of members is not settled yet")
+                return {}, outcome_unknown("another change of members is not settled yet")
             if not differs_by_one(acceptor.members, member_set_of(change)):
-                return {}, Conflict("members change by one machine at a time")
+                return {}, conflict("members change by one machine at a time")
         clock, at = self.noticed
         return apply_change(both, call.items, call.named, clock + SLOWER * max(0.0, now - at))
 
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -7,7 +7,7 @@
 
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.log import log_event
-from foxspread.mesh.errors import Failure, OutcomeUnknown
+from foxspread.mesh.errors import Failure, outcome_unknown
 from foxspread.mesh.replication.learner import NONE, ProposalNumber, unpack_row
 from foxspread.mesh.replication.acceptor import Message, Acceptor, Write
 from foxspread.mesh.replication.proposer import ProposerOutput, Proposer
@@ -59,7 +59,7 @@
         """Tells True, or a failure, within `patience` seconds; without items a read: True once this copy is
         as new as any."""
         if self.acceptor is None or not self.acceptor.serves:
-            return tell(OutcomeUnknown("the state is not known here yet"))
+            return tell(outcome_unknown("the state is not known here yet"))
         self.count += 1
         self.calls[self.count] = tell
         self._do(self.proposer.submit(self.clock(), self.count, items, self.clock() + patience))
--- a/foxspread/mesh/simulation/invariants.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -6,7 +6,8 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item, Key, consistent, for_all
+from foxspread.mesh.configuration.consistency import find_inconsistency
+from foxspread.mesh.configuration.items import Item, Key, LEASE, MEMBERS, is_for_sidecars
 from foxspread.mesh.errors import Failure
 
 ANSWERED_S = 4.0  # a call at a machine without trouble is answered within this
@@ -118,7 +119,7 @@
             held[item.key] = changed[item.key] = item
             if item.kind == MEMBERS:
                 self._one_step(learner, item)
-        if changed and (why := consistent(before, changed)) is not None:
+        if changed and (why := find_inconsistency(before, changed)) is not None:
             self.broken("consistent", f"{learner}: {why.reason}")
 
     def _one_step(self, learner: str, item: Item) -> None:
@@ -218,7 +219,9 @@
     def alike(self, current: Iterable[str]) -> None:
         """All has been whole for a while: the copies that live show the same."""
         shown_by = {
-            learner: {key: item for key, item in self.copies.get(learner, {}).items() if for_all(item)}
+            learner: {
+                key: item for key, item in self.copies.get(learner, {}).items() if is_for_sidecars(item)
+            }
             for learner in current
         }
         newest: dict[Key, Item] = {}
--- /dev/null
+++ b/tests/mesh/configuration/test_document.py
@@ -0,0 +1,21 @@
+"""The operator's JSON: what was sent can be read back."""
+
+import orjson
+import testtools
+
+from foxspread.mesh.configuration.document import configuration_document
+from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.validation import parse_call
+from tests.mesh.configuration.support import LIMITS_CONTENT, SERVICE_CONTENT, by_key, gates
+from tests.mesh.helpers import rule
+
+
+class ConfigurationDocumentTest(testtools.TestCase):
+    def test_it_reads_back_as_it_was_sent(self) -> None:
+        # The operator compares the two: unknown keys too, tombstones not.
+        call = gates(rule(colour="red"), rule(name="r2", postcode="/b/"))
+        call["lodge"] |= {"limits": LIMITS_CONTENT, "fleets": [SERVICE_CONTENT | {"sealed": False}]}
+        sent = list(parse_call(orjson.dumps(call)))
+        items = by_key(*sent, Item(ROUTE, "r9", 3, None), Item(SERVICE, "s9", 3, None))
+        self.assertEqual(call["lodge"], configuration_document(items.values()))
+        self.assertIn((LIMITS, LIMITS), items)
--- a/tests/mesh/configuration/test_idempotency.py
+++ b/tests/mesh/configuration/test_idempotency.py
@@ -1,162 +1,162 @@
-"""What operators are told: one content for each number, one answer for each order, however late it comes."""
+"""What operators are answered: one content for each version, one answer for each change, however late."""
 
 from itertools import permutations
 
 import testtools
 
 from foxspread.mesh.configuration import idempotency
-from foxspread.mesh.configuration.items import KEPT, LEASE, MEMBERS, REFUSED, SERVICE, Item
-from foxspread.mesh.configuration.idempotency import collectable, digest_of_change, apply_change, merge
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.idempotency import apply_change, digest_of_change, merge
 from foxspread.mesh.errors import Failure
+from tests.mesh.configuration.support import by_key, route_item
 from tests.mesh.replication.scripted_replicas import route, service
 
 
-class Register:
-    """The agreed set as one writer after another would settle it."""
+class AgreedItems:
+    """The agreed items as one replica after another would commit changes to them."""
 
     def __init__(self, *items):
-        self.held = {item.key: item for item in items}
+        self.items = {item.key: item for item in items}
         self.clock = 0.0
 
-    def told(self, *items):
-        """What the operator is told: 200 or a status."""
-        changes, outcome = apply_change(self.held, list(items), digest_of_change(items), self.clock)
-        self.held |= changes
+    def status_of(self, *items):
+        """What the operator is answered: 200 or the status of a failure."""
+        changes, outcome = apply_change(self.items, list(items), digest_of_change(items), self.clock)
+        self.items |= changes
         return outcome.status if isinstance(outcome, Failure) else 200
 
     def content(self, name):
-        return self.held[SERVICE, name].content
+        return self.items[SERVICE, name].content
 
 
 V1, V2 = service(version=5, tag=1), service(version=5, tag=2)
 
 
-class Numbers(testtools.TestCase):
-    def test_one_content_of_a_number_is_ever_confirmed(self):
+class VersionsTest(testtools.TestCase):
+    def test_only_one_content_of_a_version_is_ever_confirmed(self):
         # Guards: r5 X is confirmed, then r6, then another's r5 Y was confirmed too.
         newer = [service(version=6), Item(SERVICE, "v", 7, None), service(version=9, tag=4)]
         for count in range(len(newer) + 1):
             for first, second in permutations((V1, V2)):
-                register = Register()
-                self.assertEqual(200, register.told(first))
+                agreed = AgreedItems()
+                self.assertEqual(200, agreed.status_of(first))
                 for item in newer[:count]:
-                    self.assertEqual(200, register.told(item))
-                self.assertEqual((409, 200), (register.told(second), register.told(first)), count)
+                    self.assertEqual(200, agreed.status_of(item))
+                self.assertEqual((409, 200), (agreed.status_of(second), agreed.status_of(first)), count)
 
-    def test_a_number_that_was_overtaken_unseen_is_confirmed_once(self):
+    def test_a_version_that_was_superseded_unseen_is_confirmed_once(self):
         # An older order that never came through changes nothing and is confirmed, another of its number not.
         for first, second in permutations((V1, V2)):
-            register = Register(service(version=8, tag=8))
-            told = [register.told(each) for each in (first, second, first, service(version=8, tag=8))]
-            self.assertEqual([200, 409, 200, 200], told)
-            self.assertEqual(8, register.content("v")["tag"])
+            agreed = AgreedItems(service(version=8, tag=8))
+            statuses = [agreed.status_of(each) for each in (first, second, first, service(version=8, tag=8))]
+            self.assertEqual([200, 409, 200, 200], statuses)
+            self.assertEqual(8, agreed.content("v")["tag"])
 
-    def test_all_orders_of_four_orders(self):
-        # Whatever comes first: of each number one content is confirmed, an order has one answer.
+    def test_each_change_has_one_answer_in_all_sequences_of_four(self):
+        # Whatever comes first: of each version one content is confirmed, a change has one answer.
         four = [V1, V2, service(version=6), Item(SERVICE, "v", 7, None)]
         for played in permutations([*four, V1, V2], 6):
-            register, told = Register(), {}
+            agreed, answers = AgreedItems(), {}
             for item in played:
-                answer = register.told(item)
-                self.assertEqual(told.setdefault(str(item), answer), answer, played)
-            self.assertEqual([200, 409], sorted(told[str(each)] for each in (V1, V2)))
+                answer = agreed.status_of(item)
+                self.assertEqual(answers.setdefault(str(item), answer), answer, played)
+            self.assertEqual([200, 409], sorted(answers[str(each)] for each in (V1, V2)))
 
-    def test_what_is_remembered_is_bounded_and_beyond_it_nothing_is_said(self):
+    def test_versions_below_the_floor_get_no_clear_answer(self):
         # Past the bound no order is confirmed that may differ from what was, nor refused if it was taken.
-        register = Register()
-        changes = [service(version=n, tag=n) for n in range(1, idempotency.PAST_MOST + 12)]
+        agreed = AgreedItems()
+        changes = [service(version=n, tag=n) for n in range(1, idempotency.MAX_SUPERSEDED_VERSIONS + 12)]
         for item in changes:
-            self.assertEqual(200, register.told(item))
-        floor, known = register.held[SERVICE, "v"].past
-        self.assertEqual((10, idempotency.PAST_MOST), (floor, len(known)))
+            self.assertEqual(200, agreed.status_of(item))
+        superseded = agreed.items[SERVICE, "v"].superseded
+        floor, known = superseded.floor, superseded.digests
+        self.assertEqual((10, idempotency.MAX_SUPERSEDED_VERSIONS), (floor, len(known)))
         for item in changes:
             other = service(version=item.version, tag=-1)
             expected = (503, 503) if item.version <= floor else (200, 409)
-            self.assertEqual(expected, (register.told(item), register.told(other)), item.version)
+            self.assertEqual(expected, (agreed.status_of(item), agreed.status_of(other)), item.version)
 
-    def test_an_older_number_is_noted_without_pushing_out_what_was_confirmed(self):
-        register = Register()
-        for n in range(100, 100 + idempotency.PAST_MOST + 1):
-            register.told(service(version=n, tag=n))
-        self.assertEqual(200, register.told(service(version=50, tag=1)))
-        self.assertEqual([503, 503], [register.told(service(version=50, tag=tag)) for tag in (1, 2)])
-        self.assertEqual(200, register.told(service(version=100, tag=100)))
+    def test_an_older_version_does_not_push_out_confirmed_ones(self):
+        agreed = AgreedItems()
+        for n in range(100, 100 + idempotency.MAX_SUPERSEDED_VERSIONS + 1):
+            agreed.status_of(service(version=n, tag=n))
+        self.assertEqual(200, agreed.status_of(service(version=50, tag=1)))
+        self.assertEqual([503, 503], [agreed.status_of(service(version=50, tag=tag)) for tag in (1, 2)])
+        self.assertEqual(200, agreed.status_of(service(version=100, tag=100)))
 
-    def test_numbers_are_one_whether_whole_or_not(self):
+    def test_integers_and_equal_floats_are_one_number(self):
         one, same = (Item(SERVICE, "v", 5, {"name": "v", "tag": tag}) for tag in (2, 2.0))
-        register = Register()
-        told = [register.told(each) for each in (one, same, service(version=6), same)]
-        self.assertEqual([200] * 4, told)
+        agreed = AgreedItems()
+        statuses = [agreed.status_of(each) for each in (one, same, service(version=6), same)]
+        self.assertEqual([200] * 4, statuses)
 
-    def test_no_number_is_too_large_to_be_overtaken(self):
+    def test_no_number_is_too_large_for_a_digest(self):
         # Guards: a whole number beyond 64 bits, which JSON gives as a float: no digest could be made of it.
         for large in (1e40, -1e300, 2.0**53, 2.0**63, 10**18, 0.1):
-            register = Register()
+            agreed = AgreedItems()
             one = Item(SERVICE, "v", 5, {"name": "v", "tag": large})
             self.assertEqual(
-                [200, 200, 200], [register.told(each) for each in (one, service(version=6), one)]
+                [200, 200, 200], [agreed.status_of(each) for each in (one, service(version=6), one)]
             )
-            self.assertEqual(409, register.told(V2))
+            self.assertEqual(409, agreed.status_of(V2))
 
-    def test_an_order_is_known_whatever_the_order_of_its_items(self):
+    def test_a_change_has_one_digest_in_any_order_of_its_items(self):
         items = [service("a"), service("b"), route("r", "/r/", "a")]
         self.assertEqual(1, len({digest_of_change(each) for each in permutations(items)}))
         self.assertNotEqual(digest_of_change(items), digest_of_change(items[:2]))
 
 
-class Refusals(testtools.TestCase):
+class RefusedChangesTest(testtools.TestCase):
     late = route("r", "/r/", "w")
 
-    def test_a_refused_order_never_comes_into_force(self):
+    def test_a_refused_change_never_comes_into_force(self):
         # Guards: a copy that a frozen machine reads late, when it has become valid.
-        register = Register(service())
-        self.assertEqual(400, register.told(self.late))
-        self.assertEqual(200, register.told(service("w")))
-        self.assertEqual(400, register.told(self.late))
-        self.assertNotIn(self.late.key, register.held)
+        agreed = AgreedItems(service())
+        self.assertEqual(400, agreed.status_of(self.late))
+        self.assertEqual(200, agreed.status_of(service("w")))
+        self.assertEqual(400, agreed.status_of(self.late))
+        self.assertNotIn(self.late.key, agreed.items)
         again = route("r", "/r/", "w", version=2)
-        self.assertEqual(200, register.told(again))
-        self.assertEqual(400, register.told(self.late))
+        self.assertEqual(200, agreed.status_of(again))
+        self.assertEqual(400, agreed.status_of(self.late))
 
-    def test_a_taken_order_is_never_refused(self):
+    def test_a_confirmed_change_is_never_refused(self):
         # Not even when what it needs has gone since.
-        register = Register(service())
-        self.assertEqual(200, register.told(service("w"), self.late))
+        agreed = AgreedItems(service())
+        self.assertEqual(200, agreed.status_of(service("w"), self.late))
         for item in (Item(*self.late.key, 2, None), Item(SERVICE, "w", 2, None)):
-            self.assertEqual(200, register.told(item))
-        self.assertEqual(200, register.told(service("w"), self.late))
-        self.assertIsNone(register.held[self.late.key].content)
-
-    def test_refusals_are_kept_for_their_time_and_no_longer(self):
-        register = Register()
-        for n in range(idempotency.REFUSED_MOST):
-            register.clock = n * 0.01
-            self.assertEqual(400, register.told(route(f"r{n}", "/r/", "w")))
-        self.assertEqual(503, register.told(self.late))  # one that could not be remembered is not told
-        register.clock += idempotency.REFUSED_KEPT_S
-        self.assertEqual(400, register.told(self.late))
-        self.assertGreater(register.held[KEPT, REFUSED].content["t"], 0)
-
-
-class Own(testtools.TestCase):
-    def test_members_and_leases_follow_what_holds(self):
+            self.assertEqual(200, agreed.status_of(item))
+        self.assertEqual(200, agreed.status_of(service("w"), self.late))
+        self.assertIsNone(agreed.items[self.late.key].content)
+
+
+class CompareAndSetTest(testtools.TestCase):
+    def test_members_and_leases_follow_the_current_version(self):
         # Guards: two that change from the same set, or act on the same lease, at once.
         for kind in (MEMBERS, LEASE):
             one, other = (Item(kind, "members", 1, {"of": [name]}) for name in "ab")
-            register = Register()
+            agreed = AgreedItems()
             second, third = (Item(kind, "members", n, {"of": ["a"]}) for n in (2, 3))
-            told = [register.told(each) for each in (second, one, other, one, third, second)]
-            self.assertEqual([409, 200, 409, 409, 409, 200], told)
-
-    def test_the_oldest_of_too_many_dropped_items_are_forgotten(self):
-        # And an unknown name below the floor is left without a clear answer: it may be one of them.
-        gone = [Item(SERVICE, f"s{n}", 5 + n % 3, None) for n in range(idempotency.DROPPED_MOST + 1)]
-        held = {item.key: item for item in gone}
-        at = {item.key: (n + 1, "w") for n, item in enumerate(gone)}
-        self.assertEqual({}, collectable(dict(list(held.items())[1:]), at))
-        kept = collectable(held, at)[KEPT, "dropped"]
-        oldest = idempotency.DROPPED_MOST + 1 - idempotency.DROPPED_REST
-        self.assertEqual({"floor": 7, "at": [oldest, "w"]}, kept.content)
-        there = {kept.key: kept}
-        self.assertEqual(503, merge(there, [service("s0", 7)]).status)
-        self.assertIn((SERVICE, "s0"), merge(there, [service("s0", 8)]))
+            statuses = [agreed.status_of(each) for each in (second, one, other, one, third, second)]
+            self.assertEqual([409, 200, 409, 409, 409, 200], statuses)
+
+
+class MergeTest(testtools.TestCase):
+    def test_the_highest_version_holds(self) -> None:
+        # Older changes that arrive again, a drop before what it drops, two contents of one version.
+        current = by_key(route_item("r1", 5), Item(ROUTE, "gone", 5, None))
+        for item, is_newer in (
+            (route_item("r1", 4), False),
+            (route_item("r1", 5), False),
+            (route_item("r1", 6), True),
+            (Item(ROUTE, "r1", 4, None), False),
+            (Item(ROUTE, "r1", 6, None), True),
+            (route_item("gone", 4), False),
+            (route_item("gone", 6), True),
+            (route_item("new", 1), True),
+        ):
+            merged = {**current, **merge(current, [item])}
+            in_force = {key: each.without_history for key, each in merged.items()}
+            self.assertEqual({**current, **(by_key(item) if is_newer else {})}, in_force)
+        for other in (route_item("r1", 5, "/other/"), Item(ROUTE, "r1", 5, None), route_item("gone", 5)):
+            self.assertEqual(409, merge(current, [other]).status)
--- a/tests/mesh/configuration/test_routes.py
+++ b/tests/mesh/configuration/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which service of it."""
+"""Which route a request takes, and which service of the route."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 from tests.mesh.helpers import route
 
 
-class Finds(testtools.TestCase):
+class RouteTableTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.table = RouteTable()
@@ -16,13 +16,13 @@
             self.table.put(route(name=name, postcode=postcode))
         self.table.put(route(host="Other.Example", name="o", postcode="/a/"))
 
-    def found(self, host, path):
+    def route_name(self, host, path):
         there = self.table.find(host, path)
         return there and there.name
 
-    def test_the_longest_prefix_of_its_host(self):
+    def test_a_request_takes_the_longest_prefix_of_its_host(self):
         # Guards: by whole parts of the path; host with port, in capitals, and none of another host's routes.
-        for host, path, wanted in (
+        for host, path, expected in (
             ("h.example", "/a/b/x", "ab"),
             ("h.example", "/a/b/", "ab"),
             ("h.example", "/a/b", "a"),
@@ -42,27 +42,27 @@
             ("none.example", "/a/x", None),
             ("", "/a/x", None),
         ):
-            self.assertEqual(wanted, self.found(host, path), (host, path))
+            self.assertEqual(expected, self.route_name(host, path), (host, path))
 
-    def test_changes(self):
+    def test_a_changed_route_leaves_its_former_prefix(self):
         # Guards: a route that moves leaves its old place; two that swap places, in any order, lose none; one
         # that is dropped after another has taken its place leaves that alone.
         self.table.put(route(name="ab", postcode="/moved/", version="r2"))
-        self.assertEqual(["a", "ab"], [self.found("h.example", p) for p in ("/a/b/x", "/moved/x")])
+        self.assertEqual(["a", "ab"], [self.route_name("h.example", p) for p in ("/a/b/x", "/moved/x")])
         self.table.put(route(name="a", postcode="/moved/", version="r2"))
         self.table.put(route(name="ab", postcode="/a/", version="r3"))
-        self.assertEqual(["ab", "a"], [self.found("h.example", p) for p in ("/a/x", "/moved/x")])
+        self.assertEqual(["ab", "a"], [self.route_name("h.example", p) for p in ("/a/x", "/moved/x")])
         self.table.put(route(name="new", postcode="/a/", version="r1"))
         self.table.put(Item(ROUTE, "ab", 4, None))
-        self.assertEqual("new", self.found("h.example", "/a/x"))
+        self.assertEqual("new", self.route_name("h.example", "/a/x"))
         self.table.put(Item(ROUTE, "never", 1, None))
         self.table.put(Item(SERVICE, "a", 9, None))
-        self.assertEqual("a", self.found("h.example", "/moved/x"))
+        self.assertEqual("a", self.route_name("h.example", "/moved/x"))
         for name in ("o", "top", "a", "new", "deep"):
             self.table.put(Item(ROUTE, name, 9, None))
-        self.assertEqual([{}, {}], [self.table.hosts, self.table.places])
+        self.assertEqual([{}, {}], [self.table.by_host, self.table.matches])
 
-    def test_a_split_by_weight(self):
+    def test_services_share_the_requests_by_weight(self):
         # Guards: shares as the weights say, a weight of nought gets none, and every draw finds a service.
         weights = {"s0": 90, "s1": 0, "s2": 10, "s3": 0.5}
         rows = [{"service": name, "weight": weight} for name, weight in weights.items()]
@@ -75,13 +75,13 @@
             self.assertAlmostEqual(weight / 100.5, drawn[name] / 20_000, delta=0.01)
         self.assertEqual(0, drawn["s1"])
 
-    def test_the_last_draw_of_all(self):
+    def test_the_highest_draw_finds_a_service_with_weight(self):
         # Guards: shares that do not sum up to one for sure leave nothing to a service without weight.
         rows = [{"service": f"s{n}", "weight": int(n < 10)} for n in range(11)]
         split = route_of(route(dispatch={"consignments": rows, "deadline_s": 2, "delivery_attempts": 2}))
         self.assertEqual("s9", split.service(1 - 2**-53))
 
-    def test_what_is_left_out(self):
+    def test_target_and_priority_have_defaults(self):
         # Guards: without a target the deadline is the aim; priority has a middle.
         row = route()
         del row.content["rule"]["target_s"], row.content["rule"]["priority"]
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import LEASE, Item
-from foxspread.mesh.errors import Conflict, OutcomeUnknown
+from foxspread.mesh.errors import conflict, outcome_unknown
 from foxspread.mesh.replication import reconfiguration as r
 from foxspread.mesh.replication.quorum_contact import Report
 from foxspread.mesh.replication.learner import Learner
@@ -71,16 +71,16 @@
         for name, items in calls:
             self.asked += 1
             fate = self.fate.get(self.asked, "")
-            outcome = OutcomeUnknown("lost") if fate == "lost" else self.put(name, items)
-            self.cores[name].told(self.now, outcome if fate != "told late" else OutcomeUnknown("late"))
+            outcome = outcome_unknown("lost") if fate == "lost" else self.put(name, items)
+            self.cores[name].told(self.now, outcome if fate != "told late" else outcome_unknown("late"))
 
     def put(self, name: str, items: list[Item]):
         lease, *change = items
         if lease.kind != LEASE or lease.version != (self.lease.version if self.lease else 0) + 1:
-            return Conflict("lease")
+            return conflict("lease")
         sets = [self.members, *map(member_set_of, change)]
         if not is_quorum(sets, self.up - self.mute):
-            return OutcomeUnknown("no majority")
+            return outcome_unknown("no majority")
         self.lease = lease
         for new in sets[1:]:
             assert new.epoch == self.members.epoch + 1 and differs_by_one(self.members, new), "one step"
@@ -270,7 +270,7 @@
             core.tend(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
         self.assertEqual(1, len(put))  # one under way at the most
-        put[0][1](OutcomeUnknown("lost"))
+        put[0][1](outcome_unknown("lost"))
         self.assertIsNone(core.asked)
 
 
@@ -364,7 +364,7 @@
             mine = core.step(field.now, view)
             theirs = field.cores[other].step(field.now, field.view(other))
             if mine is not None:
-                core.told(field.now, OutcomeUnknown("lost"))
+                core.told(field.now, outcome_unknown("lost"))
             since = field.now - at
             if mine is not None and len(mine) > 1:
                 self.assertTrue(since < r.LEASE_S - r.SPARE_S, since)
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -11,18 +11,8 @@
 
 from testtools import TestCase
 
-from foxspread.mesh.configuration.items import (
-    LEASE,
-    MEMBERS,
-    NO_PAST,
-    REFUSED,
-    ROUTE,
-    SERVICE,
-    Item,
-    laid_out,
-    place_of,
-    services_of,
-)
+from foxspread.mesh.configuration.document import configuration_document, route_match, weighted_services
+from foxspread.mesh.configuration.items import Item, LEASE, MEMBERS, NONE_SUPERSEDED, REFUSED, ROUTE, SERVICE
 from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
 from foxspread.mesh.replication.acceptor import Acceptor, Saved
 from foxspread.mesh.replication.storage import Storage
@@ -101,15 +91,17 @@
     held = acceptor.learner.items
     routes = [item for item in held.values() if item.kind == ROUTE and item.content is not None]
     found = {
-        "configuration": laid_out(held.values()),
-        "places": {item.name: place_of(item.content) for item in routes},
-        "services": {item.name: services_of(item.content) for item in routes},
+        "configuration": configuration_document(held.values()),
+        "places": {item.name: route_match(item.content) for item in routes},
+        "services": {item.name: weighted_services(item.content) for item in routes},
         "dropped": sorted(item.key for item in held.values() if item.content is None),
         "forgotten_up_to": [acceptor.learner.floor, acceptor.learner.horizon],
         "lease": held[LEASE, MEMBERS].content,
         "refusals": [item.content for item in held.values() if item.kind == REFUSED],
         "agreed_clock": acceptor.learner.clock,
-        "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
+        "past_versions": {
+            item.name: item.superseded for item in held.values() if item.superseded != NONE_SUPERSEDED
+        },
         "answers": {name: answer(held, order) for name, order in ORDERS.items()},
         "serves": acceptor.serves,
         "unsettled": acceptor.uncommitted,
