--- a/foxspread/mesh/committed_configuration.py
+++ b/foxspread/mesh/committed_configuration.py
@@ -38,7 +38,7 @@
                 self.set_members(item.content["of"])
             if item.kind == LIMITS and item.content is not None:
                 self._set_limits(item.content)
-        routes = self.routes.places
+        routes = self.routes.matches
         self.caller.steering.forget(lambda name: ("route", name) in routes)
 
     def set_members(self, members: Iterable[str]) -> None:
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -19,7 +19,7 @@
 from foxspread.mesh.control_api.readiness import PauseDetector, Readiness
 from foxspread.mesh.endpoints import Endpoints
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.event_log import EventLog
+from foxspread.mesh.event_log import EventKind, EventLog
 from foxspread.mesh.fault_report import report_fault
 from foxspread.mesh.gossip.connection_manager import ConnectionManager, NeighbourFallback
 from foxspread.mesh.gossip.partial_view import Neighbour, PartialView
@@ -99,14 +99,18 @@
             schedule=self.loop.call_soon,
             is_replica=lambda peer: self.links.is_replica(peer),
             on_committed=self._on_committed,
-            on_record=lambda node: self.event_log.append("record", node),
+            on_record=lambda node: self.event_log.append(EventKind.RECORD_UPDATED, node),
             publish_own_record=self.publish_own_record,
             readiness=Readiness(),
         )
         self.records = self.sync.records
         self.upstreams = Upstreams(self.records)
-        self.event_log.view("settled", lambda event: self.configuration.apply(event.body))
-        self.event_log.view("record", lambda event: self.upstreams.fold(self.clock(), event.body))
+        self.event_log.subscribe(
+            EventKind.ITEMS_COMMITTED, lambda event: self.configuration.apply(event.body)
+        )
+        self.event_log.subscribe(
+            EventKind.RECORD_UPDATED, lambda event: self.upstreams.fold(self.clock(), event.body)
+        )
 
     def _build_links(self) -> None:
         settings, now = self.settings, self.clock()
@@ -346,7 +350,7 @@
 
     def _on_committed(self, new: list[Item]) -> None:
         if new:
-            self.event_log.append("settled", new)
+            self.event_log.append(EventKind.ITEMS_COMMITTED, new)
 
     async def _drain_is_propagated(self) -> bool:
         """Whether a drain that the own record reports is to be acknowledged; waits until it is decided."""
--- a/tests/mesh/test_node.py
+++ b/tests/mesh/test_node.py
@@ -4,7 +4,6 @@
 import copy
 import io
 import json
-import logging
 import os
 import pathlib
 import tempfile
@@ -37,7 +36,7 @@
         self.enterContext(mock.patch.dict(os.environ, {FILE_VARIABLE: str(self.path)}))
         self.lines = io.StringIO()
         log.configure_logging("side-1")
-        log.LOGGER.handlers[:] = [logging.StreamHandler(self.lines)]
+        log.LOGGER.handlers[0].setStream(self.lines)
 
     def write(self, **changes: object) -> None:
         self.path.write_text(json.dumps({**copy.deepcopy(FILE), **changes}))
