--- /dev/null
+++ b/tests/mesh/test_replica_contact.py
@@ -0,0 +1,134 @@
+"""A replica's contact with its quorum: rounds, outdated disks, when peers are told, when it may leave."""
+
+from types import SimpleNamespace
+from unittest import mock
+
+import testtools
+
+from foxspread.mesh.replica_contact import ReplicaContact
+from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.membership import MemberSet
+from foxspread.mesh.replication.quorum_contact import TELL_S, QuorumContact, Report
+
+MEMBERS = MemberSet(0, ("m1", "m2", "m3"))
+NUMBER = (4, "l")
+
+
+def reported(member: str) -> Report:
+    return Report(member, True, 0, NUMBER, NUMBER)
+
+
+class Process:
+    def __init__(self) -> None:
+        self.now, self.heard, self.found_older = 1000.0, [], []
+        learner = Learner()
+        learner.committed_number = NUMBER
+        self.server = SimpleNamespace(
+            acceptor=SimpleNamespace(known=True, learner=learner, disk=(1, "d"), start_count=3),
+            members=MEMBERS,
+            fresh=True,
+            incarnation="own",
+            durable=(2, "l"),
+            own_report=lambda zone, leaving, hears: reported("m1"),
+            heard=lambda sender, fields: self.heard.append((sender, fields)),
+            found_older=self.found_older.append,
+            reached=lambda member: None,
+        )
+        self.reconfiguration = mock.Mock()
+        self.contact = ReplicaContact(
+            lambda: self.now,
+            lambda: SimpleNamespace(zone="z", tolerate=1, tolerate_zones=0),
+            lambda: False,
+            self.server,
+            QuorumContact("m1"),
+            self.reconfiguration,
+        )
+
+    def round(self, *members: str) -> None:
+        request = self.contact.request(self.now)
+        for member in members:
+            self.contact.handle(member, QuorumContact.answer(request, reported(member)))
+
+
+class Rounds(testtools.TestCase):
+    def test_a_quorum_of_answers_is_contact_and_silence_ends_it(self) -> None:
+        process = Process()
+        self.assertFalse(process.contact.in_contact())
+        process.round()
+        self.assertFalse(process.contact.in_contact())
+        process.now += 1.0
+        process.round("m2")
+        self.assertTrue(process.contact.in_contact())
+        self.assertEqual(0.0, process.contact.age())
+        process.now += TELL_S + 0.01
+        self.assertFalse(process.contact.in_contact())
+
+    def test_a_request_tells_of_the_disk_and_comes_once_a_round(self) -> None:
+        process = Process()
+        request = process.contact.request(process.now)
+        self.assertEqual(
+            {"t": "contact", "n": 1, "life": "own", "disk": (1, "d"), "boots": 3, "promised": (2, "l")},
+            request,
+        )
+        self.assertEqual(["t", "n", "life", "disk", "boots", "promised"], list(request))
+        self.assertIsNone(process.contact.request(process.now))
+        process.contact.replica_connected(process.now, "m2")
+        self.assertIsNotNone(process.contact.request(process.now))
+
+    def test_peers_are_told_once_of_each_change(self) -> None:
+        process = Process()
+        self.assertIsNone(process.contact.take_change())
+        process.round("m2")
+        self.assertEqual([True, None], [process.contact.take_change(), process.contact.take_change()])
+        process.now += TELL_S + 0.01
+        self.assertEqual([False, None], [process.contact.take_change(), process.contact.take_change()])
+
+    def test_an_empty_disk_has_no_contact_whatever_is_answered(self) -> None:
+        process = Process()
+        process.server.acceptor.known = False
+        process.round("m2", "m3")
+        self.assertFalse(process.contact.in_contact())
+
+
+class OutdatedDisks(testtools.TestCase):
+    request = {"t": "contact", "n": 1, "life": "b", "disk": [1, "e"], "boots": 2, "promised": [3, "l"]}
+
+    def test_a_disk_that_began_fewer_times_than_it_had_told_is_named_to_its_owner(self) -> None:
+        process = Process()
+        self.assertNotIn("older", process.contact.handle("m2", self.request))
+        answer = process.contact.handle("m2", {**self.request, "life": "c", "boots": 1})
+        self.assertEqual("c", answer["older"])
+
+    def test_an_answer_that_names_this_incarnation_has_the_replica_enrol_anew(self) -> None:
+        process = Process()
+        answer = QuorumContact.answer({"n": 1}, reported("m2"))
+        process.contact.handle("m2", {**answer, "older": "another"})
+        self.assertEqual([], process.found_older)
+        process.contact.handle("m2", {**answer, "older": "own"})
+        self.assertEqual(1, len(process.found_older))
+        self.assertEqual(16, len(process.found_older[0]))
+
+    def test_before_the_disk_is_read_nothing_is_answered(self) -> None:
+        process = Process()
+        process.server.acceptor = None
+        self.assertIsNone(process.contact.handle("m2", self.request))
+        self.assertFalse(process.contact.in_contact())
+
+
+class Membership(testtools.TestCase):
+    def test_messages_of_consensus_go_to_the_replica(self) -> None:
+        process = Process()
+        self.assertIsNone(process.contact.handle("m2", {"t": "accept"}))
+        self.assertEqual([("m2", {"t": "accept"})], process.heard)
+
+    def test_it_may_leave_once_the_members_do_without_it_or_with_nothing_on_disk(self) -> None:
+        process = Process()
+        process.reconfiguration.may_go.return_value = False
+        self.assertFalse(process.contact.may_leave_membership(process.now))
+        process.reconfiguration.may_go.return_value = True
+        self.assertTrue(process.contact.may_leave_membership(process.now))
+        view = process.reconfiguration.may_go.call_args.args[1]
+        self.assertEqual(("m1", MEMBERS, NUMBER), (view.me, view.members, view.committed_number))
+        process.reconfiguration.may_go.return_value = False
+        process.server.acceptor = None
+        self.assertTrue(process.contact.may_leave_membership(process.now))
