--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -31,13 +31,14 @@
 from foxspread.mesh.registry.endpoint_records import LEAVING
 from foxspread.mesh.registry.incarnations import InstanceTable
 from foxspread.mesh.registry.own_record import OwnRecord
-from foxspread.mesh.replica_contact import CONTACT_RESPONSE, ReplicaContact
+from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.messages import ContactReply
 from foxspread.mesh.replication.quorum_contact import QuorumContact
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
-from foxspread.mesh.replication.replica import PATIENCE_S
-from foxspread.mesh.replication.replica_server import CUT_OFF_S, ReplicaServer
+from foxspread.mesh.replication.replica import CALL_TIMEOUT_S
+from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S, ReplicaServer
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.storage import Storage
 from foxspread.mesh.settings import Settings, format_address, read_settings, reloaded
@@ -202,8 +203,8 @@
             Reconfiguration(self.member, self.incarnation, self.chance.draw),
         )
         self.sync.replica = contact
-        server.others = lambda: self.links.replicas
-        server.patience = lambda: PATIENCE_S if contact.in_contact() else CUT_OFF_S
+        server.reachable_replicas = lambda: self.links.replicas
+        server.call_timeout_s = lambda: CALL_TIMEOUT_S if contact.in_contact() else NO_QUORUM_TIMEOUT_S
         return storage
 
     async def _listen(self) -> None:
@@ -312,7 +313,7 @@
     def _tick_contact(self, now: float) -> None:
         if self.contact.recovered:
             if (request := self.contact.request(now)) is not None:
-                self.links.send_to_replicas(request)
+                self.links.send_to_replicas(request.packed())
             self._announce_contact()
             self.contact.reconfigure()
 
@@ -394,6 +395,6 @@
         elif self.contact is not None and self.links.is_replica(peer):
             answer = self.contact.handle(self.links.member_at(peer), fields)
             if answer is not None:
-                self.links.send(peer, answer)
-            if kind_of(fields) == CONTACT_RESPONSE:
+                self.links.send(peer, answer.packed())
+            if kind_of(fields) == ContactReply.kind:
                 self._announce_contact()
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -11,7 +11,7 @@
 from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.errors import InvariantViolation, Failure
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
-from foxspread.mesh.replication.quorum_contact import QuorumContact, Report
+from foxspread.mesh.replication.quorum_contact import QuorumContact
 from foxspread.mesh.replication.learner import (
     START,
     Learner,
@@ -20,13 +20,14 @@
     ProposalNumber,
 )
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.replica import PATIENCE_S, Replica
-from foxspread.mesh.replication.reconfiguration import Reconfiguration, ClusterView
+from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
+from foxspread.mesh.replication.cluster_view import ClusterView
+from foxspread.mesh.replication.messages import ContactReply, ContactRequest, Report, decode
+from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
 from foxspread.mesh.simulation.invariants import shown
 from foxspread.mesh.registry.own_record import OwnRecord
-from foxspread.mesh.replica_contact import CONTACT_REQUEST, CONTACT_RESPONSE
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
 from foxspread.sums import Chance
@@ -177,10 +178,10 @@
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
-    def piece(after: Offset = START, most: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-        return Learner.piece(learner, after, most, bare)
+    def chunk(after: Offset = START, limit_bytes: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
+        return Learner.chunk(learner, after, limit_bytes, bare)
 
-    learner.piece = piece
+    learner.chunk = chunk
     return learner
 
 
@@ -252,8 +253,8 @@
         self.core = fleet.cores.replica(
             self.clock, self.named, draw, self._put, self._send, self._hears_itself, self.sync.committed
         )
-        self.core.proposes_with = fleet.cores.proposer
-        self.core.others = lambda: [each.name for each in fleet.machines if each is not self]
+        self.core.proposer_class = fleet.cores.proposer
+        self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
         self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
         self.reconfiguration = fleet.cores.reconfiguration(self.name, self.named, draw)
         self.in_quorum_contact = False
@@ -267,7 +268,7 @@
 
     def _put(self, writes: list, then: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.disk.put(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
+        self.disk.write(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
 
     def _hears_itself(self, call: Callable[..., None], *told: Any) -> None:
         self.later(0.0, lambda: call(*told))
@@ -279,10 +280,10 @@
             self.fleet.judge.over(self.wiped)
             self.wiped = None
         now = self.clock()
-        if (asking := self.quorum_contact.ask(now, self._report())) is not None:
+        if (request := self.quorum_contact.request(now, self._report())) is not None:
             for each in self.fleet.machines:
                 if each is not self:
-                    self._send(each.name, asking)
+                    self._send(each.name, request.packed())
         self._announce_contact()
         if self.ready:
             self.fleet.judge.tells(self.named, "is ready", self.learner.items)
@@ -299,14 +300,14 @@
     def in_contact(self) -> bool:
         if self.core is None or self.core.acceptor is None:
             return False
-        self.quorum_contact.held(self.core.acceptor.members, self.learner.committed_number)
-        return self.quorum_contact.current(self.clock())
+        self.quorum_contact.update(self.core.acceptor.members, self.learner.committed_number)
+        return self.quorum_contact.is_current(self.clock())
 
     def _report(self) -> Report:
         acceptor = self.core.acceptor
         return Report(
             self.name,
-            acceptor.known and acceptor.voting,
+            acceptor.serves,
             acceptor.epoch,
             acceptor.learner.committed_number,
             max(acceptor.accepted, acceptor.learner.committed_number),
@@ -322,13 +323,13 @@
             if current:
                 self.sync.announce_committed_set()
 
-    def learn(self, committed_number: ProposalNumber, rows: list, replaced: bool) -> None:
+    def learn(self, committed_number: ProposalNumber, rows: list, complete_set: bool) -> None:
         """Of `LocalReplica`."""
-        self.core.learn(committed_number, rows, replaced)
+        self.core.learn(committed_number, rows, complete_set)
 
-    def peer_committed(self, committed_number: ProposalNumber) -> None:
+    def on_peer_committed(self, committed_number: ProposalNumber) -> None:
         """Of `LocalReplica`."""
-        self.core.peer_committed(committed_number)
+        self.core.on_peer_committed(committed_number)
 
     @property
     def recovered(self) -> bool:
@@ -342,38 +343,36 @@
 
     def age(self) -> float | None:
         """Of `LocalReplica`."""
-        return self.quorum_contact.age(self.clock())
+        return self.quorum_contact.staleness_s(self.clock())
 
     # Who the members are.
 
     def _view(self, now: float) -> ClusterView:
         acceptor = self.core.acceptor
-        reports = {name: (at, report) for name, (report, at) in self.quorum_contact.reports.items()}
-        reports[self.name] = now, self._report()
-        self.quorum_contact.held(acceptor.members, self.learner.committed_number)
-        return ClusterView(
-            self.name,
+        self.quorum_contact.update(acceptor.members, self.learner.committed_number)
+        return ClusterView.of(
+            now,
+            self._report(),
             acceptor.members,
-            self.learner.items.get((LEASE, MEMBERS)),
-            reports,
-            self.learner.committed_number,
+            self.learner,
+            self.quorum_contact.reports,
+            self.quorum_contact.staleness_s(now),
             self.fleet.plan.tolerate,
             0,
-            self.quorum_contact.age(now),
         )
 
     def _replace(self, now: float) -> None:
         view = self._view(now)
-        if self.leaving and self.reconfiguration.may_go(now, view):
+        if self.leaving and self.reconfiguration.may_leave(now, view):
             return self.fleet.faults.has_left(self)
         if (items := self.reconfiguration.step(now, view)) is None:
             return
 
         def told(outcome: bool | Failure) -> None:
             self.fleet.judge.acted(self.named, items, outcome)
-            self.reconfiguration.told(self.clock(), outcome)
+            self.reconfiguration.on_outcome(self.clock(), outcome)
 
-        self.core.ask(items, told)
+        self.core.call(items, told)
 
     # What it hears.
 
@@ -382,20 +381,20 @@
         if kind == Hello.kind or kind in self.sync.handlers:
             super().heard(sender, message)
             if kind == Hello.kind and isinstance(self.fleet.parties[sender], Machine):
-                self.quorum_contact.next_at = self.clock()
-                self.core.reached(sender)
-        elif kind == CONTACT_REQUEST:
-            self._send(sender, self.quorum_contact.answer(message, self._report()))
-        elif kind == CONTACT_RESPONSE:
-            self.quorum_contact.heard(self.clock(), sender, message)
+                self.quorum_contact.next_request_at = self.clock()
+                self.core.on_connected(sender)
+        elif kind == ContactRequest.kind:
+            self._send(sender, self.quorum_contact.reply(decode(message), self._report()).packed())
+        elif kind == ContactReply.kind:
+            self.quorum_contact.receive(self.clock(), sender, decode(message))
             self._announce_contact()
         else:
-            self.core.heard(sender, message)
+            self.core.receive(sender, message)
 
     def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
-        patience = PATIENCE_S if self.in_contact() else CUT_OFF_S
-        self.core.ask(list(items), lambda outcome: tell(outcome, self.theirs()), patience)
+        timeout_s = CALL_TIMEOUT_S if self.in_contact() else CUT_OFF_S
+        self.core.call(list(items), lambda outcome: tell(outcome, self.theirs()), timeout_s)
 
     def theirs(self) -> dict[Key, Item]:
         """What a read tells."""
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -21,11 +21,10 @@
 from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_record
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
+from foxspread.mesh.replication.messages import SnapshotChunkRequest, SnapshotRows, decode
 from foxspread.mesh.replication.snapshot_transfer import ReceivedRows, SnapshotTransfer
 from foxspread.mesh.transport.messages import COMMITTED_SET, Fields, Have, PullResponse, Pull, VersionVector
 
-CHUNK_REQUEST, CHUNK = "piece", "rows"  # kinds, of `replication/snapshot_transfer.py`
-
 
 class LocalReplica(Protocol):
     """What this core needs of the replica beside it, on a machine with storage."""
@@ -44,10 +43,10 @@
     def age(self) -> float | None:
         """Seconds for which it may have missed commits; None: not known."""
 
-    def learn(self, committed_number: tuple[int, str], rows: list, replaced: bool) -> None:
+    def learn(self, committed_number: tuple[int, str], rows: list, complete_set: bool) -> None:
         """Rows have come from a peer; the replica reports what is new by `StateSync.committed`."""
 
-    def peer_committed(self, committed_number: tuple[int, str]) -> None:
+    def on_peer_committed(self, committed_number: tuple[int, str]) -> None:
         """A peer has committed that proposal."""
 
 
@@ -86,8 +85,8 @@
             Have.kind: self._on_have,
             Pull.kind: self._on_pull,
             PullResponse.kind: self._on_pull_response,
-            CHUNK_REQUEST: self._on_chunk_request,
-            CHUNK: self._on_chunk,
+            SnapshotChunkRequest.kind: self._on_chunk_request,
+            SnapshotRows.kind: self._on_chunk,
         }
 
     @property
@@ -164,7 +163,7 @@
     def peer_disconnected(self, peer: str) -> None:
         """What was asked of it is asked of others."""
         self.anti_entropy.remove_peer(peer)
-        self.snapshot_transfer.left(peer)
+        self.snapshot_transfer.on_peer_lost(peer)
 
     def basis_pull(self, now: float) -> Fields:
         """A pull whose answer tells how old the committed set here may be."""
@@ -177,7 +176,7 @@
         versions = dict(have.versions)
         committed_number = versions.pop(COMMITTED_SET, None)
         if committed_number is not None and self.may_learn_from(peer):
-            self.snapshot_transfer.told(peer, unpack_proposal_number(committed_number))
+            self.snapshot_transfer.on_peer_committed(peer, unpack_proposal_number(committed_number))
         self.anti_entropy.receive(peer, versions)
         self.compare_versions(have.versions)
         self.schedule_flush()
@@ -188,7 +187,7 @@
         if of_own_record is not None and self.own_record.supersede(of_own_record):
             self.publish_own_record()
         if COMMITTED_SET in versions and self.replica is not None:
-            self.replica.peer_committed(versions[COMMITTED_SET])
+            self.replica.on_peer_committed(versions[COMMITTED_SET])
 
     def _on_pull(self, peer: str, fields: Fields) -> None:
         self.send(peer, self.answer_pull(peer, Pull.decode(fields)).packed())
@@ -206,7 +205,7 @@
             if response.committed_number <= self.learner.committed_number:
                 self.readiness.told(self.clock(), response.requested_at, response.age_s)
             else:
-                self.snapshot_transfer.told(peer, response.committed_number)
+                self.snapshot_transfer.on_peer_committed(peer, response.committed_number)
         if response.records is not None:
             for row in response.records:
                 self.take_record(unpack_record(row))
@@ -215,24 +214,25 @@
 
     def _on_chunk_request(self, peer: str, fields: Fields) -> None:
         if self.may_send_committed_set(peer):
-            answer = SnapshotTransfer.answer(self.learner, fields, self.age(), self.is_replica(peer))
-            self.send(peer, answer)
+            request = decode(fields)
+            reply = SnapshotTransfer.reply(self.learner, request, self.age(), self.is_replica(peer))
+            self.send(peer, reply.packed())
 
     def _on_chunk(self, peer: str, fields: Fields) -> None:
-        received = self.snapshot_transfer.heard(self.clock(), peer, fields)
+        received = self.snapshot_transfer.receive(self.clock(), peer, decode(fields))
         if received is not None:
             self._take_rows(received)
         self.schedule_flush()
 
     def _take_rows(self, received: ReceivedRows) -> None:
         if self.replica is not None:
-            self.replica.learn(received.committed_number, received.rows, received.replaced)
+            self.replica.learn(received.committed_number, received.rows, received.complete_set)
             return
         now = self.clock()
-        take = self.learner.replace if received.replaced else self.learner.fold
+        take = self.learner.replace if received.complete_set else self.learner.fold
         self.on_committed(take(received.committed_number, map(unpack_row, received.rows)))
         self.anti_entropy.set_version(COMMITTED_SET, self.learner.committed_number)
-        self.readiness.told(now, now, received.age)
+        self.readiness.told(now, now, received.staleness_s)
 
     # Sending.
 
@@ -251,5 +251,5 @@
         for peer, versions in self.anti_entropy.pulls(now):
             self.send(peer, Pull(versions, now).packed())
         if self.replica is None or self.replica.recovered:
-            for peer, message in self.snapshot_transfer.step(self.clock()):
-                self.send(peer, message)
+            for peer, request in self.snapshot_transfer.step(self.clock()):
+                self.send(peer, request.packed())
--- a/tests/mesh/test_state_sync.py
+++ b/tests/mesh/test_state_sync.py
@@ -10,7 +10,8 @@
 from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.replication.learner import START, Learner, pack_offset, pack_row
 from foxspread.mesh.replication.membership import MemberSet
-from foxspread.mesh.replication.quorum_contact import TELL_S, QuorumContact, Report
+from foxspread.mesh.replication.messages import Report
+from foxspread.mesh.replication.quorum_contact import STALENESS_LIMIT_S, QuorumContact
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import COMMITTED_SET, MalformedMessageError, Pull
@@ -52,7 +53,7 @@
         process = Process("core", replicas=("k2",))
         sync = process.sync
         members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
-        acceptor = SimpleNamespace(known=True, learner=sync.learner)
+        acceptor = SimpleNamespace(members_known=True, learner=sync.learner)
         server = SimpleNamespace(acceptor=acceptor, members=members, fresh=True)
         quorum_contact = QuorumContact(members.of[0])
         sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None)
@@ -70,19 +71,19 @@
 
         self.assertEqual((False, False, 0), outcome("side"))
         self.assertEqual((True, False, 2), outcome("k2"))
-        asking = quorum_contact.ask(process.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
-        quorum_contact.heard(
-            process.now, "m2", QuorumContact.answer(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
+        asking = quorum_contact.request(process.now, Report(members.of[0], True, 0, (4, "l"), (4, "l")))
+        quorum_contact.receive(
+            process.now, "m2", QuorumContact.reply(asking, Report("m2", True, 0, (4, "l"), (4, "l")))
         )
         process.now += 1.0
         self.assertEqual((True, True, 1), outcome("side"))
         news = sync.answer_pull("side", PULL).packed()
         self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
         self.assertEqual([pack_row(rows[0].bare, (4, "l"))], chunks("side")[0]["rows"])
-        acceptor.known = False  # its disk came back empty: members are known from seeds only
+        acceptor.members_known = False  # its disk came back empty: members are known from seeds only
         self.assertEqual((False, False, 0), outcome("side"))
-        acceptor.known = True
-        process.now += TELL_S  # it was frozen: nothing has reported it so yet
+        acceptor.members_known = True
+        process.now += STALENESS_LIMIT_S  # it was frozen: nothing has reported it so yet
         self.assertEqual((False, False, 0), outcome("side"))
         self.assertEqual((True, False, 2), outcome("k2"))
 
@@ -112,8 +113,8 @@
         process.receive(peer, self.have)
         requests = process.sync.snapshot_transfer.step(at)
         process.now = 1000.0
-        for name, message in requests:
-            process.receive(name, SnapshotTransfer.answer(there, message, age, False))
+        for name, request in requests:
+            process.receive(name, SnapshotTransfer.reply(there, request, age, False).packed())
         return [name for name, _ in requests]
 
     def test_rows_make_ready_only_if_they_were_young_when_asked_for(self) -> None:
@@ -148,7 +149,7 @@
         process, learnt = Process("core", replicas=("k2",)), []
         process.sync.replica = SimpleNamespace(
             learn=lambda *rows: learnt.append(rows),
-            peer_committed=lambda number: None,
+            on_peer_committed=lambda number: None,
             recovered=True,
             in_contact=lambda: False,
         )
