--- a/foxspread/mesh/cli.py
+++ b/foxspread/mesh/cli.py
@@ -136,7 +136,7 @@
 @click.option(
     "--trace", type=int, metavar="SEED", help="One seed in full; the fewest events where it breaks."
 )
-@click.option("--broken", default="", help="Plays a broken core of simulation/mutants.py.")
+@click.option("--broken", default="", help="Plays a mutant of simulation/mutants.py.")
 @click.option("--jobs", type=click.IntRange(1, 256), help="Processes; as many as there are processors.")
 def simulate(
     seeds: range,
@@ -151,22 +151,22 @@
     """Play a fleet of replicas in virtual time, one run a seed. Exit code 1 where a rule is broken."""
     from dataclasses import replace
 
-    from foxspread.mesh.simulation.campaign import several, traced
-    from foxspread.mesh.simulation.mutants import CORES
-    from foxspread.mesh.simulation.schedule import days
+    from foxspread.mesh.simulation.campaign import run_campaign, trace_seed
+    from foxspread.mesh.simulation.mutants import MUTANTS
+    from foxspread.mesh.simulation.schedule import named_plans
 
-    plan = days(machines, bears)[day]
+    plan = named_plans(machines, bears)[day]
     kinds = plan.faults if not faults else tuple(each for each in faults.split(",") if each != "none")
     if unknown := [each for each in kinds if each not in plan.faults]:
         raise click.BadParameter(f"{', '.join(unknown)}: of {', '.join(plan.faults)}", param_hint="--faults")
-    if broken and broken not in CORES:
-        raise click.BadParameter(f"{broken}: one of {', '.join(CORES)}", param_hint="--broken")
+    if broken and broken not in MUTANTS:
+        raise click.BadParameter(f"{broken}: one of {', '.join(MUTANTS)}", param_hint="--broken")
     plan = replace(plan, faults=kinds)
     if trace is not None:
-        return click.echo("\n".join(traced(plan, trace, broken)))
-    summary = several(plan, seeds, jobs, broken)
+        return click.echo("\n".join(trace_seed(plan, trace, broken)))
+    summary = run_campaign(plan, seeds, jobs, broken)
     click.echo("\n".join(summary.lines()))
-    sys.exit(1 if summary.broken else 0)
+    sys.exit(1 if summary.violation_counts else 0)
 
 
 def _sizes(context: click.Context, option: click.Option, text: str) -> list[int]:
--- a/foxspread/mesh/simulation/__init__.py
+++ b/foxspread/mesh/simulation/__init__.py
@@ -1,3 +1,7 @@
-"""The virtual orchard: the cores of a whole fleet, with its links, disks, clocks and operators, in one
-process and in virtual time. One seed decides all that befalls it, so a failure is a seed to replay.
+"""Deterministic simulation of the replicated configuration: the cores of a fleet, with network, storage,
+clocks, clients and faults, in one process and in virtual time.
+
+A seed decides everything, so a failure is a seed to replay. `fleet` plays one run and `campaign` many;
+`explorer` goes through all message orders of small cases; `mutants` are wrong cores that both have to catch.
+Nothing that runs in production imports this package.
 """
--- a/foxspread/mesh/simulation/campaign.py
+++ b/foxspread/mesh/simulation/campaign.py
@@ -1,4 +1,4 @@
-"""Many seeds in several processes, and what came of them."""
+"""Campaigns: many seeds played in several processes, and a summary of what came of them."""
 
 import os
 from collections import Counter
@@ -7,81 +7,104 @@
 from dataclasses import dataclass, field
 from multiprocessing import get_context
 
-from foxspread.mesh.simulation.fleet import minimised, play
-from foxspread.mesh.simulation.mutants import CORES
-from foxspread.mesh.simulation.invariants import Break
+from foxspread.mesh.simulation.events import Event
+from foxspread.mesh.simulation.fleet import minimise, play
+from foxspread.mesh.simulation.invariants import Violation
 from foxspread.mesh.simulation.machines import Cores
-from foxspread.mesh.simulation.schedule import Event, Plan, drawn
+from foxspread.mesh.simulation.mutants import MUTANTS
+from foxspread.mesh.simulation.schedule import Plan, draw_schedule
 
-MOST_SHOWN = 20  # breaks that are kept with their texts
+SHOWN_VIOLATIONS_LIMIT = 20  # that a summary keeps with their texts
+SEEDS_A_PROCESS = 8  # at least: a process takes about as long to start as these to play
+SEEDS_A_CHUNK = 4  # handed to a process at once
+
+
+@dataclass(frozen=True)
+class SeedResult:
+    """What a campaign keeps of one run."""
+
+    seed: int
+    calls: int
+    acknowledged: int
+    messages: int
+    fault_counts: dict[str, int]
+    violations: list[Violation]
 
 
 @dataclass
 class Summary:
+    """Totals over all seeds of a campaign."""
+
     seeds: int = 0
     calls: int = 0
     acknowledged: int = 0
     messages: int = 0
-    befell: Counter = field(default_factory=Counter)
-    broken: Counter = field(default_factory=Counter)  # seeds by rule
-    breaks: list[tuple[int, Break]] = field(default_factory=list)
+    fault_counts: Counter = field(default_factory=Counter)
+    violation_counts: Counter = field(default_factory=Counter)  # seeds by rule
+    violations: list[tuple[int, Violation]] = field(default_factory=list)  # with their seeds
+
+    def add(self, result: SeedResult) -> None:
+        """Count one more run."""
+        self.calls += result.calls
+        self.acknowledged += result.acknowledged
+        self.messages += result.messages
+        self.fault_counts.update(result.fault_counts)
+        for violation in result.violations:
+            self.violation_counts[violation.rule] += 1
+            if len(self.violations) < SHOWN_VIOLATIONS_LIMIT:
+                self.violations.append((result.seed, violation))
 
     def lines(self) -> Iterator[str]:
+        """The summary as it is printed."""
         yield (
             f"seeds={self.seeds} calls={self.calls} acknowledged={self.acknowledged} messages={self.messages}"
         )
-        yield "faults " + " ".join(f"{kind}={count}" for kind, count in sorted(self.befell.items()))
-        for seed, each in self.breaks:
-            yield f"BROKEN seed={seed} at={each.at:.3f} {each.rule}: {each.text}"
-        yield f"broken={sum(self.broken.values())}" + "".join(
-            f' "{rule}"={count}' for rule, count in self.broken.items()
+        yield "faults " + " ".join(f"{kind}={count}" for kind, count in sorted(self.fault_counts.items()))
+        for seed, violation in self.violations:
+            yield f"BROKEN seed={seed} at={violation.at:.3f} {violation.rule}: {violation.text}"
+        yield f"broken={sum(self.violation_counts.values())}" + "".join(
+            f' "{rule}"={count}' for rule, count in self.violation_counts.items()
         )
 
 
-def one(plan: Plan, broken: str, seed: int) -> tuple:
-    played = play(plan, seed, _cores(broken))
-    acknowledged = sum(call.outcome is True for call in played.calls)
-    return seed, len(played.calls), acknowledged, played.messages, played.befell, played.breaks
+def run_seed(plan: Plan, mutant: str, seed: int) -> SeedResult:
+    """Play one seed, with the cores as they are or with a mutant of `MUTANTS`."""
+    result = play(plan, seed, _cores(mutant))
+    acknowledged = sum(call.outcome is True for call in result.calls)
+    return SeedResult(
+        seed, len(result.calls), acknowledged, result.message_count, result.fault_counts, result.violations
+    )
 
 
-def several(plan: Plan, seeds: Iterable[int], jobs: int | None = None, broken: str = "") -> Summary:
+def run_campaign(plan: Plan, seeds: Iterable[int], jobs: int | None = None, mutant: str = "") -> Summary:
+    """Play seeds in `jobs` processes, as many as there are processors unless told otherwise."""
     seeds = list(seeds)
     summary = Summary(len(seeds))
-    jobs = min(jobs or os.cpu_count() or 1, max(1, len(seeds) // 8))
-    told = [(plan, broken, seed) for seed in seeds]
+    jobs = min(jobs or os.cpu_count() or 1, max(1, len(seeds) // SEEDS_A_PROCESS))
     if jobs == 1:
-        rows = (one(*each) for each in told)
-        return _summed(summary, rows)
+        for seed in seeds:
+            summary.add(run_seed(plan, mutant, seed))
+        return summary
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
-        return _summed(summary, pool.map(one, *zip(*told), chunksize=4))
-
-
-def _summed(summary: Summary, rows: Iterable[tuple]) -> Summary:
-    for seed, calls, acknowledged, messages, befell, breaks in rows:
-        summary.calls += calls
-        summary.acknowledged += acknowledged
-        summary.messages += messages
-        summary.befell.update(befell)
-        for each in breaks:
-            summary.broken[each.rule] += 1
-            if len(summary.breaks) < MOST_SHOWN:
-                summary.breaks.append((seed, each))
+        plans, mutants = [plan] * len(seeds), [mutant] * len(seeds)
+        for result in pool.map(run_seed, plans, mutants, seeds, chunksize=SEEDS_A_CHUNK):
+            summary.add(result)
     return summary
 
 
-def traced(plan: Plan, seed: int, broken: str = "") -> list[str]:
+def trace_seed(plan: Plan, seed: int, mutant: str = "") -> list[str]:
     """What happened in a seed, a line each; where it breaks a rule, the fewest events that still do."""
-    cores, events = _cores(broken), drawn(plan, seed)
-    played = play(plan, seed, cores, events, trace=True)
-    if played.breaks:
-        played = minimised(played, cores)
-    rows = [f"broken at {each.at:.4f}: {each.rule}: {each.text}" for each in played.breaks]
-    return [*_events(played.events), "", *played.told, "", *(rows or ["nothing is broken"])]
+    cores, events = _cores(mutant), draw_schedule(plan, seed)
+    result = play(plan, seed, cores, events, trace=True)
+    if result.violations:
+        result = minimise(result, cores)
+    violations = [f"broken at {each.at:.4f}: {each.rule}: {each.text}" for each in result.violations]
+    return [*_describe(result.events), "", *result.trace, "", *(violations or ["nothing is broken"])]
 
 
-def _events(events: list[Event]) -> list[str]:
+def _describe(events: list[Event]) -> list[str]:
     return [f"plan {event}" for event in events]
 
 
-def _cores(broken: str) -> Cores:
-    return CORES[broken] if broken else Cores()
+def _cores(mutant: str) -> Cores:
+    return MUTANTS[mutant] if mutant else Cores()
--- /dev/null
+++ b/foxspread/mesh/simulation/cluster_state.py
@@ -0,0 +1,381 @@
+"""One state of a small cluster in the exhaustive exploration: acceptors, proposers, their storage and the
+messages in flight, with the actions that lead from it to others.
+
+A write is in storage before its answer exists. That loses no order: power lost before the write is the
+message that never came, power lost between write and answer is an answer that never comes.
+"""
+
+from collections.abc import Iterator
+from copy import copy as shallow_copy
+from dataclasses import dataclass, field
+from functools import lru_cache
+from typing import Any, NamedTuple
+
+import orjson
+
+from foxspread.mesh.configuration.items import Item, Key
+from foxspread.mesh.errors import Failure, InvariantViolation
+from foxspread.mesh.replication.acceptor import Acceptor, Learned, Response
+from foxspread.mesh.replication.messages import (
+    Accept,
+    Accepted,
+    Behind,
+    Enroll,
+    Enrolled,
+    Message,
+    Nack,
+    Prepare,
+    Promise,
+    ProposerReply,
+    decode,
+)
+from foxspread.mesh.replication.proposer import Proposer, ProposerOutput
+from foxspread.mesh.replication.stored_state import DeleteRows, PutRows, RecoveredState, SetMeta, Write
+from foxspread.mesh.simulation.actions import Action, Attempt, Crash, Deliver, Gossip, Wipe
+from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.state_invariants import find_violations
+from foxspread.mesh.simulation.state_key import clone_core, core_key, digest_of
+
+NEVER = 1e9  # a time that does not come: attempts begin only by an action
+
+
+@dataclass(frozen=True)
+class Case:
+    """The bounds of an exploration."""
+
+    members: tuple[str, ...] = ("a", "b", "c")
+    calls: tuple[tuple[str, Item], ...] = ()  # by whom, and what
+    attempts: int = 1  # of each proposer
+    attempts_of: tuple[tuple[str, int], ...] = ()  # of those that have another number of them
+    crashes: int = 0
+    wipes: int = 0
+    may_crash: tuple[str, ...] | None = None  # None: any member
+    may_wipe: tuple[str, ...] | None = None
+    gossip: bool = False  # committed sets spread otherwise as well
+    standbys: tuple[str, ...] = ()  # machines with storage that are no members
+    immediate_replies: bool = False  # a reply comes at once or never; requests may still be late
+    always_replied: bool = False  # with immediate replies: whatever comes is replied to
+
+
+class InFlight(NamedTuple):
+    """A message on its way, as it is sent."""
+
+    sender: str
+    to: str
+    packed: bytes
+
+
+class Answer(NamedTuple):
+    """A clear answer to a call."""
+
+    item: Item
+    accepted: bool
+
+
+class StoredData:
+    """The storage of one machine, which syncs at once."""
+
+    def __init__(self) -> None:
+        self.meta: dict[str, bytes] = {}
+        self.items: dict[tuple[str, str], bytes] = {}
+
+    def clone(self) -> "StoredData":
+        """Another with the same content."""
+        clone = StoredData()
+        clone.meta, clone.items = dict(self.meta), dict(self.items)
+        return clone
+
+    def recovered(self) -> RecoveredState:
+        """What a start finds."""
+        meta = {name: orjson.loads(body) for name, body in self.meta.items()}
+        return RecoveredState.from_stored(meta, [orjson.loads(body) for body in self.items.values()])
+
+    def apply(self, writes: list[Write]) -> None:
+        """Write and sync."""
+        for write in writes:
+            match write:
+                case SetMeta(name, value):
+                    self.meta[name] = orjson.dumps(value)
+                case PutRows(rows):
+                    self.items.update({(row[0], row[1]): orjson.dumps(row) for row in rows})
+                case DeleteRows(keys):
+                    for key in keys:
+                        self.items.pop(key, None)
+
+
+@dataclass
+class ClusterState:
+    """A state, and what was seen on the way to it."""
+
+    case: Case
+    cores: Cores
+    storage: dict[str, StoredData] = field(default_factory=dict)
+    acceptors: dict[str, Acceptor] = field(default_factory=dict)
+    proposers: dict[str, Proposer] = field(default_factory=dict)
+    incarnations: dict[str, int] = field(default_factory=dict)
+    attempts_left: dict[str, int] = field(default_factory=dict)
+    in_flight: list[InFlight] = field(default_factory=list)
+    answers: list[Answer] = field(default_factory=list)
+    shown: dict[tuple[Key, int], bytes] = field(default_factory=dict)  # packed contents in force
+    committed: dict[tuple[Key, int], Item] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
+    crashes_left: int = 0
+    wipes_left: int = 0
+    core_keys: dict[str, bytes] = field(default_factory=dict)  # of the machines that nothing has changed
+    drops_replies: bool = False  # what is replied now is lost
+
+    @classmethod
+    def create(cls, case: Case, cores: Cores = Cores()) -> "ClusterState":
+        """The first state: all members voting, calls submitted, nothing in flight."""
+        state = cls(case, cores, crashes_left=case.crashes, wipes_left=case.wipes)
+        for name in sorted({*case.members, *case.standbys, *(name for name, _ in case.calls)}):
+            state.incarnations[name] = 0
+            state.attempts_left[name] = dict(case.attempts_of).get(name, case.attempts)
+            voting = name in case.members or name in case.standbys
+            recovered = RecoveredState((0, name), case.members, voting=voting, members_confirmed=True)
+            state._start(name, recovered)
+        for name, item in case.calls:
+            proposer = state.proposers[name]
+            proposer.next_attempt_at = NEVER
+            proposer.submit(0.0, item, [item], NEVER)
+        return state
+
+    def _start(self, name: str, recovered: RecoveredState | None = None) -> None:
+        """With these data on new storage, or from the storage that is there."""
+        if recovered is not None:
+            self.storage[name] = StoredData()
+        else:
+            recovered = self.storage[name].recovered()
+        acceptor = self.acceptors[name] = self.cores.acceptor(name, recovered)
+        self.storage[name].apply(acceptor.initial_writes())
+        self.proposers[name] = self.cores.proposer(acceptor, f"{name}.{self.incarnations[name]}", _middle)
+
+    def clone(self) -> "ClusterState":
+        """One that may go another way; machines are shared until one is touched."""
+        new = shallow_copy(self)
+        for name, value in vars(self).items():
+            if isinstance(value, dict | list):
+                setattr(new, name, shallow_copy(value))
+        return new
+
+    def _touch(self, name: str) -> None:
+        """Before a machine changes: from now on it is this state's own."""
+        if self.core_keys.pop(name, None) is not None:
+            self.storage[name] = self.storage[name].clone()
+            self.acceptors[name] = clone_core(self.acceptors[name])
+            self.proposers[name] = clone_core(self.proposers[name])
+            self.proposers[name].acceptor = self.acceptors[name]
+
+    # What may come next.
+
+    def actions(self) -> Iterator[Action]:
+        """All actions that are possible in this state."""
+        case = self.case
+        for index, each in enumerate(self.in_flight):
+            if each not in self.in_flight[:index]:
+                yield Deliver(index)
+                if case.immediate_replies and not case.always_replied:
+                    yield Deliver(index, replied=False)
+        for name, proposer in self.proposers.items():
+            if self.attempts_left[name] and (
+                proposer.waiting or proposer.running or proposer.proposal_number
+            ):
+                yield Attempt(name)
+        if self.crashes_left:
+            yield from (Crash(name) for name in case.may_crash or case.members)
+        if self.wipes_left and all(self.acceptors[name].voting for name in case.members):
+            yield from (Wipe(name) for name in case.may_wipe or case.members)
+        if case.gossip:
+            yield from self._gossip_actions()
+
+    def _gossip_actions(self) -> Iterator[Action]:
+        for source, ahead in self.acceptors.items():
+            for target, behind in self.acceptors.items():
+                if ahead.learner.committed_number > behind.learner.committed_number and behind.serves:
+                    yield Gossip(source, target)
+
+    def do(self, action: Action) -> None:
+        """Take an action, and judge the state that it leads to."""
+        try:
+            match action:
+                case Deliver(index, True):
+                    self._deliver(index)
+                case Deliver(index, False):
+                    self._deliver_without_reply(index)
+                case Attempt(name):
+                    self._attempt(name)
+                case Crash(name):
+                    self._crash(name)
+                case Wipe(name):
+                    self._wipe(name)
+                case Gossip(source, target):
+                    self._gossip(source, target)
+        except InvariantViolation as error:
+            self.violations.append(str(error))
+        self.violations += find_violations(self)
+
+    def deliver_kind(self, sender: str, to: str, kind: str, newest: bool = False) -> None:
+        """The first message of a kind in flight between two arrives, or the last."""
+        indexes = [
+            index
+            for index, each in enumerate(self.in_flight)
+            if each[:2] == (sender, to) and loads(each.packed).kind == kind
+        ]
+        self.do(Deliver(indexes[-1 if newest else 0]))
+
+    def _deliver(self, index: int) -> None:
+        sender, to, packed = self.in_flight.pop(index)
+        self._receive(sender, to, loads(packed))
+
+    def _deliver_without_reply(self, index: int) -> None:
+        before = list(self.in_flight)
+        del before[index]
+        self.drops_replies = True
+        self._deliver(index)
+        self.drops_replies = False
+        self.in_flight = before
+
+    def _attempt(self, name: str) -> None:
+        self._touch(name)
+        proposer = self.proposers[name]
+        proposer.next_attempt_at, proposer.phase_deadline = 0.0, 0.0
+        self.attempts_left[name] -= 1
+        self._execute(name, proposer.tick(0.0))
+
+    def _crash(self, name: str) -> None:
+        self.crashes_left -= 1
+        self._end(name)
+        self._start(name)
+
+    def _wipe(self, name: str) -> None:
+        self.wipes_left -= 1
+        self._end(name)
+        self._start(name, RecoveredState((1, f"{name}{self.incarnations[name]}"), self.case.members))
+        self._enroll(name)
+
+    def _enroll(self, name: str) -> None:
+        for member in self.case.members:
+            if member != name:
+                self._send(name, member, Enroll(self.acceptors[name].disk))
+
+    def _gossip(self, source: str, target: str) -> None:
+        self._touch(target)
+        ahead, behind = self.acceptors[source].learner, self.acceptors[target]
+        learned = behind.commit(ahead.committed_number) or behind.learn(
+            ahead.committed_number, ahead.changed_since(behind.learner.committed_number)
+        )
+        self._take_learned(target, learned)
+
+    def _end(self, name: str) -> None:
+        self._touch(name)
+        self.incarnations[name] += 1
+        self.attempts_left[name] = 0
+        self.in_flight = [each for each in self.in_flight if each.to != name]
+
+    # As `Replica` does it.
+
+    def _receive(self, sender: str, to: str, message: Message) -> None:
+        self._touch(to)
+        acceptor = self.acceptors[to]
+        match message:
+            case Prepare():
+                self._respond(to, sender, acceptor.prepare(message))
+            case Accept():
+                self._respond(to, sender, acceptor.accept(message))
+            case Enroll():
+                self._respond(to, sender, acceptor.enroll(sender, message))
+            case Enrolled():
+                if (learned := acceptor.take_enrolled(sender, message)) is not None:
+                    self._take_learned(to, learned)
+                    if not acceptor.members_confirmed:
+                        self._enroll(to)
+            case _:
+                self._execute(to, self.proposers[to].receive(0.0, sender, message))
+
+    def _take_learned(self, name: str, learned: Learned) -> None:
+        self.storage[name].apply(learned.writes)
+        self._show(learned.new_items)
+
+    def _respond(self, name: str, to: str, response: Response) -> None:
+        self.storage[name].apply(response.writes)
+        self._show(response.new_items)
+        if response.reply is not None:
+            self._send(name, to, response.reply)
+
+    def _execute(self, name: str, output: ProposerOutput) -> None:
+        self.storage[name].apply(output.writes)
+        self._show(output.new_items)
+        for to, message in output.sends:
+            self._send(name, to, message)
+        for item, outcome in output.completed:
+            if not isinstance(outcome, Failure) or outcome.status < 500:
+                self.answers.append(Answer(item, outcome is True))
+        if (proposer := self.proposers[name]).proposal_number is None:
+            proposer.next_attempt_at = NEVER
+
+    def _send(self, sender: str, to: str, message: Message) -> None:
+        if sender == to:
+            self._receive(sender, to, message)
+        elif self.case.immediate_replies and isinstance(message, ProposerReply):
+            if not self.drops_replies:
+                self._receive(sender, to, loads(orjson.dumps(message.packed())))
+        else:
+            self.in_flight.append(InFlight(sender, to, orjson.dumps(message.packed())))
+
+    def _show(self, new: list[Item]) -> None:
+        for item in new:
+            content = orjson.dumps(item.content)
+            self.committed.setdefault((item.key, item.version), item)
+            if self.shown.setdefault((item.key, item.version), content) != content:
+                self.violations.append(f"two contents of {item.name}@r{item.version} were shown")
+
+    # Equal states.
+
+    def prune(self) -> None:
+        """Drop messages that change nothing, and order the others: more states are equal then."""
+        self.in_flight = sorted(each for each in self.in_flight if not self._is_moot(each))
+
+    def _is_moot(self, each: InFlight) -> bool:
+        message, receiver = loads(each.packed), self.proposers[each.to]
+        match message:
+            case Promise() | Accepted() | Behind() | Nack():
+                if receiver.proposal_number is None or message.proposal_number != receiver.proposal_number:
+                    return True  # of an attempt that is over
+                first_phase = receiver.proposed_delta is None
+                return isinstance(message, Promise) and (not first_phase or each.sender in receiver.promises)
+            case Enrolled():
+                return self.acceptors[each.to].members_confirmed
+            case Prepare() | Accept() if self.case.immediate_replies:
+                number = message.proposal_number
+                if isinstance(message, Prepare) and self.proposers[each.sender].proposal_number != number:
+                    return True  # it would only keep others from being heard
+                # Refused, it would only end an attempt, as never coming does.
+                return number < self.acceptors[each.to].promised and not self.attempts_left[each.sender]
+        return False
+
+    def key(self) -> bytes:
+        """The same for states from which the same may follow."""
+        rows: list[Any] = [
+            self.in_flight,
+            self.attempts_left,
+            self.crashes_left,
+            self.wipes_left,
+            sorted(self.shown.items()),
+            [(answer.item.name, answer.item.version, answer.accepted) for answer in self.answers],
+        ]
+        for name in sorted(self.acceptors):
+            if name not in self.core_keys:
+                self.core_keys[name] = core_key(self.acceptors[name], self.proposers[name])
+            rows.append(self.core_keys[name])
+        return digest_of(rows)
+
+
+@lru_cache(1 << 16)
+def loads(packed: bytes) -> Message:
+    """The message that these bytes are."""
+    return decode(orjson.loads(packed))
+
+
+def _middle() -> float:
+    """In place of a random number: time does not count here."""
+    return 0.5
--- /dev/null
+++ b/foxspread/mesh/simulation/explorer.py
@@ -0,0 +1,79 @@
+"""Exhaustive exploration of small cases, as the model checker TLC explores a specification, but of the very
+cores that run: any message in flight may arrive next, any proposer may begin or begin anew, a machine may
+crash or be wiped while the case allows one more. States that were seen are not explored again.
+
+Depth first, for a small frontier: the cases are bounded by what may happen in them, not by depth. The
+explorers in `lab/processes` go breadth first to a depth, for the shortest path, and yield the next states
+where this one applies an action to a clone. What is the same is a loop over a set of keys, so each has its
+own.
+"""
+
+from dataclasses import dataclass
+from typing import TypeAlias
+
+from foxspread.mesh.replication.learner import unpack_row
+from foxspread.mesh.replication.messages import Enroll, Enrolled
+from foxspread.mesh.simulation.actions import Action, Deliver
+from foxspread.mesh.simulation.cluster_state import Case, ClusterState, loads
+from foxspread.mesh.simulation.machines import Cores
+
+DEFAULT_STATE_LIMIT = 1_000_000
+
+# The newest action, and the path before it: shared between states, so that a path costs one cell a state.
+LinkedPath: TypeAlias = tuple["LinkedPath", str] | tuple[()]
+
+
+@dataclass
+class Exploration:
+    """What an exploration found."""
+
+    states: int
+    steps: int
+    complete: bool  # all states of the case were seen
+    violations: list[str]
+    path: list[str]  # the actions to the first violation
+
+
+def explore(case: Case, cores: Cores = Cores(), state_limit: int = DEFAULT_STATE_LIMIT) -> Exploration:
+    """Explore a case until a violation, the limit or the last state."""
+    first = ClusterState.create(case, cores)
+    seen, steps = {first.key()}, 0
+    frontier: list[tuple[ClusterState, LinkedPath]] = [(first, ())]
+    while frontier:
+        last, path = frontier.pop()
+        for action in last.actions():
+            state = last.clone()
+            text = _describe(state, action)
+            state.do(action)
+            steps += 1
+            if state.violations:
+                return Exploration(len(seen), steps, False, state.violations, [*_unlinked(path), text])
+            state.prune()
+            if (key := state.key()) not in seen:
+                if len(seen) >= state_limit:
+                    return Exploration(len(seen), steps, False, [], [])
+                seen.add(key)
+                frontier.append((state, (path, text)))
+    return Exploration(len(seen), steps, True, [], [])
+
+
+def _unlinked(path: LinkedPath) -> list[str]:
+    actions = []
+    while path:
+        path, text = path
+        actions.append(text)
+    return actions[::-1]
+
+
+def _describe(state: ClusterState, action: Action) -> str:
+    """The action; of a message that arrives what it says."""
+    if not isinstance(action, Deliver) or not action.replied:
+        return str(action)
+    sender, to, packed = state.in_flight[action.index]
+    message = loads(packed)
+    is_enrolment = isinstance(message, Enroll | Enrolled)
+    number = list(message.disk if is_enrolment else message.proposal_number)
+    items = [item for item, _ in map(unpack_row, getattr(message, "rows", None) or ())]
+    items += getattr(message, "delta", ())
+    named = [f"{item.name}@r{item.version}" for item in items]
+    return " ".join([sender, ">", to, message.kind, str(number), *named])
--- a/foxspread/mesh/simulation/fleet.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -1,132 +1,156 @@
-"""A fleet in virtual time: machines with a disk that agree, sidecars that hold copies, operators that call,
-and what befalls them. What is played is a list of events that a seed draws; leaving some out is another run.
+"""One run of a fleet in virtual time: machines that replicate the configuration, sidecars that learn it,
+clients that change and read it, and the faults that a schedule injects.
 
-Never more machines than `tolerate` are lost at a time (down, frozen, cut off, with a disk that does not
-write, or wiped and not yet caught up); all may lose power at once with their disks kept.
+The cores are those of a real node. A seed draws the schedule; leaving some of its events out is another run,
+which is how a counterexample is made small. Never more machines than `Plan.tolerate` are lost at a time
+(down, frozen, partitioned, with storage that does not write, or wiped and not yet caught up). All may lose
+power at once, with their storage kept.
 """
 
 from dataclasses import dataclass, field
-from typing import Any
 
+from foxspread.mesh.simulation.clients import Clients
+from foxspread.mesh.simulation.events import Event, EventKind
 from foxspread.mesh.simulation.faults import Faults
-from foxspread.mesh.simulation.invariants import ANSWERED_S, Break, Call, Judge
-from foxspread.mesh.simulation.machines import Cores, Machine, Party, Sidecar
-from foxspread.mesh.simulation.operators import Operators
-from foxspread.mesh.simulation.schedule import Event, Plan, drawn
-from foxspread.mesh.simulation.world import Links, World
+from foxspread.mesh.simulation.invariants import ANSWER_LIMIT_S, Call, InvariantChecker, Violation
+from foxspread.mesh.simulation.machines import Cores, Machine, Process, Sidecar
+from foxspread.mesh.simulation.network import Network
+from foxspread.mesh.simulation.schedule import Plan, draw_schedule
+from foxspread.mesh.simulation.virtual_time import Simulation
+from foxspread.mesh.transport.messages import Fields
 
-QUIET = ("hello", "have", "pull", "news", "piece", "rows", "contact", "contacted")  # not told in a trace
-ALIKE_S = 5.0  # after which all that live hold the same, without a call
+# Kinds of messages, as on the wire, that a trace leaves out: they come all the time.
+UNTRACED_KINDS = ("hello", "have", "pull", "news", "piece", "rows", "contact", "contacted")
+UNTRACED_FIELDS = ("t", "delta", "ahead", "rows", "disks")  # long, or written otherwise
+CONVERGENCE_S = 5.0  # after the last fault; then all that live hold the same, without a call
+SETTLING_S = 0.5  # after the last answer that is due
 
 
 @dataclass
-class Played:
+class RunResult:
+    """What came of a run."""
+
     seed: int
     plan: Plan
     events: list[Event]
-    breaks: list[Break]
+    violations: list[Violation]
     calls: list[Call]
-    befell: dict[str, int]
-    messages: int
-    told: list[str] = field(default_factory=list)
+    fault_counts: dict[str, int]
+    message_count: int
+    trace: list[str] = field(default_factory=list)
 
 
 class Fleet:
+    """The processes of one run with their network, clients, faults and invariants."""
+
     def __init__(self, plan: Plan, seed: int, cores: Cores = Cores(), trace: bool = False) -> None:
         self.plan, self.seed, self.cores = plan, seed, cores
-        self.world = World(seed)
-        self.judge = Judge()
-        self.told: list[str] | None = [] if trace else None
-        self.links = Links(self.world, self._deliver)
-        self.faults, self.operators = Faults(self), Operators(self)
+        self.simulation = Simulation(seed)
+        self.checker = InvariantChecker()
+        self.trace: list[str] | None = [] if trace else None
+        self.network = Network(self.simulation, self._deliver)
+        self.faults, self.clients = Faults(self), Clients(self)
         self.machines = [
             Machine(self, f"c{n + 1}", n >= plan.machines) for n in range(plan.machines + plan.spares)
         ]
-        self.seeds = tuple(each.name for each in self.machines[: plan.seeds or plan.machines])
+        self.seeds = tuple(each.name for each in self.machines[: plan.initial_members or plan.machines])
         self.sidecars = [Sidecar(self, f"s{n + 1}") for n in range(plan.sidecars)]
-        self.parties: dict[str, Party] = {each.name: each for each in (*self.machines, *self.sidecars)}
+        self.processes: dict[str, Process] = {each.name: each for each in (*self.machines, *self.sidecars)}
+        self._start()
+
+    def _start(self) -> None:
         for each in self.machines:
-            each.offset, each.rate = self.world.draw() * 1000, self.world.within(0.98, 1.02)
+            each.offset, each.rate = self.simulation.draw() * 1000, self.simulation.uniform(0.98, 1.02)
             if each.spare:
-                each.wiped = self.judge.trouble(each.name)
+                each.catch_up_period = self.checker.fault_began(each.name)
             else:
                 each.start(first=True)
         for each in self.sidecars:
             each.start()
 
-    def say(self, text: str) -> None:
-        self.judge.now = self.world.now
-        if self.told is not None:
-            self.told.append(f"{self.world.now:8.4f} {text}")
+    def log(self, text: str) -> None:
+        """A line of the trace, where one is written."""
+        self.checker.now = self.simulation.now
+        if self.trace is not None:
+            self.trace.append(f"{self.simulation.now:8.4f} {text}")
 
-    def _deliver(self, sender: str, to: str, message: dict[str, Any]) -> None:
-        there = self.parties[to]
+    def _deliver(self, sender: str, to: str, message: Fields) -> None:
+        receiver = self.processes[to]
 
-        def hear() -> None:
-            if self.told is not None and message["t"] not in QUIET:
-                self.say(f"  {sender} > {to} {_line(message)}")
-            self.judge.now = self.world.now
-            there.heard(sender, message)
+        def receive() -> None:
+            if self.trace is not None and message["t"] not in UNTRACED_KINDS:
+                self.log(f"  {sender} > {to} {_describe_message(message)}")
+            self.checker.now = self.simulation.now
+            receiver.receive(sender, message)
 
-        there.does(hear)
+        receiver.execute(receive)
 
-    def play(self, events: list[Event]) -> Played:
+    def play(self, events: list[Event]) -> RunResult:
+        """Play a schedule to its end, let all recover, and check what holds only then."""
+        plan, simulation, checker = self.plan, self.simulation, self.checker
         for event in events:
-            self.world.at(event.at, lambda event=event: self._befall(event))
-        self.world.run(self.plan.seconds)
+            simulation.at(event.at, lambda event=event: self._play_event(event))
+        simulation.run(plan.duration_s)
         self.faults.end()
-        self.world.run(self.plan.seconds + ALIKE_S)
-        self.judge.now = self.world.now
-        self.judge.alike([each.named for each in self.parties.values() if each.up])
+        simulation.run(plan.duration_s + CONVERGENCE_S)
+        checker.now = simulation.now
+        checker.check_convergence([each.incarnation_name for each in self.processes.values() if each.up])
         for each in self.machines:
             if each.up:
-                self.operators.call((), each)
-        self.world.run(self.plan.seconds + ALIKE_S + ANSWERED_S + 0.5)
-        self.judge.now = self.world.now
-        self.judge.close()
-        return Played(
+                self.clients.call((), each)
+        simulation.run(plan.duration_s + CONVERGENCE_S + ANSWER_LIMIT_S + SETTLING_S)
+        checker.now = simulation.now
+        checker.finish()
+        return self._result(events)
+
+    def _result(self, events: list[Event]) -> RunResult:
+        return RunResult(
             self.seed,
             self.plan,
             events,
-            self.judge.breaks,
-            self.judge.calls,
-            self.faults.befell,
-            self.links.sent,
-            self.told or [],
+            self.checker.violations,
+            self.checker.calls,
+            self.faults.fault_counts,
+            self.network.sent_count,
+            self.trace or [],
         )
 
-    def _befall(self, event: Event) -> None:
-        machine = self.machines[event.where % len(self.machines)]
-        if event.kind in ("call", "read"):
-            return self.operators.call(event.items, machine)
-        if event.kind == "copy":
-            return self.operators.learner(event.items, machine)
-        self.faults.befall(event)
+    def _play_event(self, event: Event) -> None:
+        machine = self.machines[event.machine % len(self.machines)]
+        if event.kind in (EventKind.CALL, EventKind.READ):
+            return self.clients.call(event.items, machine)
+        if event.kind == EventKind.DELAYED_COPY:
+            return self.clients.delayed_copy(event.items, machine)
+        self.faults.inject(event)
 
 
-def _line(message: dict[str, Any]) -> str:
-    rows = [f"{k}={v}" for k, v in message.items() if k not in ("t", "delta", "ahead", "rows", "disks")]
-    delta = [f"{each[1]}@r{each[2]}" for each in message.get("delta", ())]
-    return " ".join([message["t"], *rows, *(["delta=" + ",".join(delta)] if delta else [])])
+def _describe_message(message: Fields) -> str:
+    fields = [f"{name}={value}" for name, value in message.items() if name not in UNTRACED_FIELDS]
+    delta = [f"{row[1]}@r{row[2]}" for row in message.get("delta", ())]
+    return " ".join([message["t"], *fields, *(["delta=" + ",".join(delta)] if delta else [])])
 
 
 def play(
     plan: Plan, seed: int, cores: Cores = Cores(), events: list[Event] | None = None, trace: bool = False
-) -> Played:
-    return Fleet(plan, seed, cores, trace).play(drawn(plan, seed) if events is None else events)
+) -> RunResult:
+    """Play one run: the schedule that the seed draws, or these events."""
+    return Fleet(plan, seed, cores, trace).play(draw_schedule(plan, seed) if events is None else events)
+
 
+def minimise(result: RunResult, cores: Cores = Cores()) -> RunResult:
+    """Shrink a counterexample to fewer events that still break the same rule, with a trace.
 
-def minimised(played: Played, cores: Cores = Cores()) -> Played:
-    """Fewer events that still break the same rule: parts are left out, halves of them, single ones."""
-    rule, size = played.breaks[0].rule, max(1, len(played.events) // 2)
+    Delta debugging: halves are left out, then ever smaller parts, down to single events.
+    """
+    rule, size = result.violations[0].rule, max(1, len(result.events) // 2)
     while size:
-        before, begin = len(played.events), 0
-        while begin < len(played.events):
-            fewer = played.events[:begin] + played.events[begin + size :]
-            again = play(played.plan, played.seed, cores, fewer)
-            if any(each.rule == rule for each in again.breaks):
-                played = again
+        before, begin = len(result.events), 0
+        while begin < len(result.events):
+            fewer = result.events[:begin] + result.events[begin + size :]
+            rerun = play(result.plan, result.seed, cores, fewer)
+            if any(violation.rule == rule for violation in rerun.violations):
+                result = rerun
             else:
                 begin += size
-        size = 1 if size == 1 and len(played.events) < before else size // 2
-    return play(played.plan, played.seed, cores, played.events, trace=True)
+        size = 1 if size == 1 and len(result.events) < before else size // 2
+    return play(result.plan, result.seed, cores, result.events, trace=True)
--- a/foxspread/mesh/simulation/invariants.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -1,293 +1,271 @@
-"""Invariants, judged only from what operators were told and what copies showed."""
+"""The invariants of a run, judged only from what clients were answered and what replicas showed.
+
+The checker knows nothing of the protocol, so a mistake in it can't hide a mistake in the cores. What is meant
+is linearizability of the configuration's items, and that it stays available: every rule speaks at its first
+violation and is then silent.
+"""
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
-from typing import Any
 
 import orjson
 
 from foxspread.mesh.configuration.consistency import find_inconsistency
 from foxspread.mesh.configuration.items import Item, Key, LEASE, MEMBERS, is_for_sidecars
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.simulation.events import format_item
+from foxspread.mesh.simulation.observations import Call, FaultPeriod, Recovery, Submission, Violation
 
-ANSWERED_S = 4.0  # a call at a machine without trouble is answered within this
-FRESH_S = 4.0  # nothing is told, and nobody says ready, by what lacks something acknowledged longer ago
-BACK_S = 5.0  # after its trouble is over a machine answers a read by itself within this
-PAST_KEPT = 32  # an order that so many newer numbers have overtaken may be left without a clear answer
-
-
-@dataclass(eq=False)
-class Call:
-    """One call of an operator, through all its tries; without items a read."""
-
-    number: int
-    items: tuple[Item, ...]
-    began: float
-    tries: list[tuple[float, str]] = field(default_factory=list)
-    ended: float | None = None  # when its operator had a clear answer
-    said: float | None = None  # when one was first on its way, lost or not
-    outcome: bool | Failure | None = None
-
-    def __str__(self) -> str:
-        what = " ".join(shown(item) for item in self.items) or "read"
-        return f"#{self.number} {what}"
-
+ANSWER_LIMIT_S = 4.0  # a call at a machine without a fault is answered within this
+FRESHNESS_LIMIT_S = 4.0  # nothing is shown, and nobody says ready, by what lacks something known for longer
+RECOVERY_LIMIT_S = 5.0  # after its fault is over a machine answers a read by itself within this
+RETAINED_VERSIONS = 32  # a call that so many newer versions supersede may stay without a clear answer
 
-@dataclass(frozen=True)
-class Break:
-    rule: str
-    text: str
-    at: float
+Content = tuple[Key, int, bytes]  # of an item: its key, version and packed content
 
 
-def shown(item: Item) -> str:
-    if item.content is None:
-        said = "dropped"
-    elif item.kind == "route":
-        rule = item.content["rule"]
-        said = f"{rule['sorting']['postcode']}>{rule['dispatch']['service']}:{rule['tag']}"
-    else:
-        said = f":{item.content['tag'] if 'tag' in item.content else item.content}"
-    return f"{item.name}@r{item.version}({said})"
-
-
-def _same(item: Item) -> tuple[Key, int, bytes]:
+def _content_of(item: Item) -> Content:
     return item.key, item.version, orjson.dumps(item.content, option=orjson.OPT_SORT_KEYS)
 
 
-@dataclass
-class Return:
-    """A machine whose trouble is over, and when it first answered a read by itself."""
-
-    machine: str
-    since: float
-    served: float | None = None
-
-
-@dataclass
-class Order:
-    """What anyone was told about one order: the same items, however often and wherever it was sent."""
+class InvariantChecker:
+    """Collects what processes and clients observe, and the violations that follow from it."""
 
-    items: tuple[Item, ...]
-    taken: list[str] = field(default_factory=list)  # where and when
-    refused: list[str] = field(default_factory=list)
-
-
-class Judge:
     def __init__(self) -> None:
-        self.breaks: list[Break] = []
-        self.now = 0.0
-        self.copies: dict[str, dict[Key, Item]] = {}  # what each life of each copy shows
-        self.contents: dict[tuple[Key, int], tuple[bytes, str]] = {}  # the one that was settled, seen where
-        self.seen: set[tuple[Key, int, bytes]] = set()
-        self.versions: dict[Key, set[int]] = {}  # that were in force or confirmed
-        self.confirmed: dict[tuple[Key, int], tuple[bytes, str]] = {}  # acknowledged or read, and by whom
-        self.acknowledged: dict[Key, Item] = {}  # the newest of each item that was acknowledged or read
-        self.known_since: list[tuple[float, Item]] = []  # each as it became the newest
-        self.ripe, self.least = 0, {}  # of these, how many nobody may lack any more, and the newest of each
-        self.sets: dict[int, set[str]] = {}  # members by epoch
-        self.acting: dict[int, str] = {}  # by the number of the lease
-        self.orders: dict[frozenset, Order] = {}
-        self.returned: list[Return] = []
+        self.violations: list[Violation] = []
+        self.now = 0.0  # seconds of the run; whoever reports something sets it before
         self.calls: list[Call] = []
-        self.troubles: list[list[Any]] = []  # from, to or None, a machine or None for all
-
-    def broken(self, rule: str, text: str) -> None:
-        if all(each.rule != rule for each in self.breaks):
-            self.breaks.append(Break(rule, text, self.now))
-
-    # What copies show.
-
-    def started(self, learner: str) -> None:
-        self.copies[learner] = {}
-
-    def shows(self, learner: str, new: Iterable[Item]) -> None:
-        held = self.copies[learner]
-        before, changed = dict(held), {}
+        self.copies: dict[str, dict[Key, Item]] = {}  # what each incarnation of each process shows
+        self.recoveries: list[Recovery] = []
+        self.fault_periods: list[FaultPeriod] = []
+        self._in_force: dict[tuple[Key, int], tuple[bytes, str]] = {}  # packed contents, and where first seen
+        self._confirmed: dict[tuple[Key, int], tuple[bytes, str]] = {}  # acknowledged or read, and where
+        self._seen: set[Content] = set()
+        self._versions: dict[Key, set[int]] = {}  # that were in force or confirmed
+        self._newest: dict[Key, Item] = {}  # of each item that was acknowledged or read
+        self._newest_since: list[tuple[float, Item]] = []  # each as it became the newest
+        self._due_count = 0  # of these, how many nobody may lack any more
+        self._due: dict[Key, Item] = {}  # and the newest of each
+        self._member_sets: dict[int, set[str]] = {}  # by epoch
+        self._lease_users: dict[int, str] = {}  # by the version of the lease
+        self._submissions: dict[frozenset[Content], Submission] = {}
+
+    def violated(self, rule: str, text: str) -> None:
+        """An invariant does not hold; only the first violation of each is kept."""
+        if all(each.rule != rule for each in self.violations):
+            self.violations.append(Violation(rule, text, self.now))
+
+    # What processes show.
+
+    def copy_started(self, process: str) -> None:
+        """A new incarnation of a process; what its last one showed binds it to nothing."""
+        self.copies[process] = {}
+
+    def observe_items(self, process: str, new: Iterable[Item]) -> None:
+        """A process shows items as in force."""
+        shown = self.copies[process]
+        before, changed = dict(shown), {}
         for item in new:
-            same = _same(item)
-            self.seen.add(same)
-            self.versions.setdefault(item.key, set()).add(item.version)
-            first = self.contents.setdefault(same[:2], (same[2], learner))
-            other = self.confirmed.get(same[:2], first)
-            for what in (first, other):
-                if what[0] != same[2]:
-                    self.broken("one content", f"{shown(item)} at {learner}, another content at {what[1]}")
-            old = held.get(item.key)
+            self._check_in_force(process, item)
+            old = shown.get(item.key)
             if old is not None and old.version > item.version:
-                self.broken("no way back", f"{learner} showed {shown(old)}, then {shown(item)}")
-            held[item.key] = changed[item.key] = item
+                self.violated("no way back", f"{process} showed {format_item(old)}, then {format_item(item)}")
+            shown[item.key] = changed[item.key] = item
             if item.kind == MEMBERS:
-                self._one_step(learner, item)
+                self._check_membership_step(process, item)
         if changed and (why := find_inconsistency(before, changed)) is not None:
-            self.broken("consistent", f"{learner}: {why.reason}")
-
-    def _one_step(self, learner: str, item: Item) -> None:
+            self.violated("consistent", f"{process}: {why.reason}")
+
+    def _check_in_force(self, process: str, item: Item) -> None:
+        """One content for each version, in force and confirmed."""
+        key, version, packed = content = _content_of(item)
+        self._seen.add(content)
+        self._versions.setdefault(key, set()).add(version)
+        first = self._in_force.setdefault((key, version), (packed, process))
+        for other_packed, where in (first, self._confirmed.get((key, version), first)):
+            if other_packed != packed:
+                text = f"{format_item(item)} at {process}, another content at {where}"
+                self.violated("one content", text)
+
+    def _check_membership_step(self, process: str, item: Item) -> None:
         """The set of members changes by one machine at a time."""
-        self.sets[item.version] = set(item.content["of"])
-        if item.version > 1 and item.version - 1 not in self.sets:
-            self.broken(
-                "one at a time", f"{learner}: members r{item.version}, and nobody showed the one before"
-            )
-        for one in (item.version - 1, item.version):
-            old, new = self.sets.get(one), self.sets.get(one + 1)
+        self._member_sets[item.version] = set(item.content["of"])
+        if item.version > 1 and item.version - 1 not in self._member_sets:
+            text = f"{process}: members r{item.version}, and nobody showed the one before"
+            self.violated("one at a time", text)
+        for version in (item.version - 1, item.version):
+            old, new = self._member_sets.get(version), self._member_sets.get(version + 1)
             if old is not None and new is not None and len(old ^ new) != 1:
-                self.broken("one at a time", f"{learner}: members {sorted(old)}, then {sorted(new)}")
+                text = f"{process}: members {sorted(old)}, then {sorted(new)}"
+                self.violated("one at a time", text)
 
-    def acted(self, machine: str, items: list[Item], outcome: bool | Failure) -> None:
-        """One that does a duty was told so of the lease that it named."""
+    def lease_used(self, machine: str, items: list[Item], outcome: bool | Failure) -> None:
+        """A machine that acts by a lease was answered so about the version that it named."""
         for item in items:
             if item.kind == LEASE and outcome is True:
-                other = self.acting.setdefault(item.version, machine)
+                other = self._lease_users.setdefault(item.version, machine)
                 if other != machine:
-                    self.broken(
-                        "one holder", f"lease {item.version} was acted on by {other} and by {machine}"
-                    )
-
-    def tells(self, learner: str, what: str, items: dict[Key, Item]) -> None:
-        """It shows, tells or says something by what it holds: all is there that was known `FRESH_S` ago."""
-        while self.ripe < len(self.known_since) and self.known_since[self.ripe][0] <= self.now - FRESH_S:
-            item = self.known_since[self.ripe][1]
-            self.least[item.key] = item
-            self.ripe += 1
-        for key, item in self.least.items():
-            held = items.get(key)
-            if held is None or held.version < item.version:
-                has = shown(held) if held is not None else "nothing"
-                self.broken("nothing old", f"{learner} {what} by {has}: {shown(item)} was known long before")
-
-    # What operators are told.
-
-    def floor(self) -> dict[Key, Item]:
+                    text = f"lease {item.version} was acted on by {other} and by {machine}"
+                    self.violated("one holder", text)
+
+    def check_freshness(self, process: str, action: str, items: dict[Key, Item]) -> None:
+        """A process does something by what it holds: all is there that was known `FRESHNESS_LIMIT_S` ago."""
+        self._update_due()
+        for key, item in self._due.items():
+            present = items.get(key)
+            if present is None or present.version < item.version:
+                basis = format_item(present) if present is not None else "nothing"
+                text = f"{process} {action} by {basis}: {format_item(item)} was known long before"
+                self.violated("nothing old", text)
+
+    def _update_due(self) -> None:
+        limit = self.now - FRESHNESS_LIMIT_S
+        while self._due_count < len(self._newest_since) and self._newest_since[self._due_count][0] <= limit:
+            item = self._newest_since[self._due_count][1]
+            self._due[item.key] = item
+            self._due_count += 1
+
+    # What clients are answered.
+
+    def read_floor(self) -> dict[Key, Item]:
         """What a read that begins now may not fall behind."""
-        return dict(self.acknowledged)
+        return dict(self._newest)
 
-    def ended(self, call: Call, outcome: bool | Failure) -> None:
-        call.ended, call.outcome = self.now, outcome
+    def call_ended(self, call: Call, outcome: bool | Failure) -> None:
+        """The client of a call has its clear answer."""
+        call.ended_at, call.outcome = self.now, outcome
 
-    def said(self, items: tuple[Item, ...], outcome: bool | Failure, by: str) -> None:
-        """A clear answer to an order, or to a copy of it, whoever reads it: one for good."""
+    def observe_answer(self, items: tuple[Item, ...], outcome: bool | Failure, by: str) -> None:
+        """An answer to these items, or to a copy of them, whoever reads it. A clear one stands for good."""
         if not items or (isinstance(outcome, Failure) and outcome.status >= 500):
             return
-        key = frozenset(map(_same, items))
-        order = self.orders.setdefault(key, Order(items))
+        submission = self._submissions.setdefault(frozenset(map(_content_of, items)), Submission(items))
         where = f"{by} at {self.now:.3f}"
         if outcome is True:
-            order.taken.append(where)
+            submission.acknowledged.append(where)
             for item in items:
-                self._known(item, by)
+                self._observe_confirmed(item, by)
         else:
-            order.refused.append(f"{where} ({outcome.reason})")
-        if order.taken and order.refused:
-            what = " ".join(map(shown, items))
-            self.broken("one answer", f"{what}: taken by {order.taken[0]}, refused by {order.refused[0]}")
-
-    def read(self, call: Call, floor: dict[Key, Item], at: str, items: dict[Key, Item]) -> None:
-        for key, least in floor.items():
+            submission.refused.append(f"{where} ({outcome.reason})")
+        if submission.acknowledged and submission.refused:
+            answers = f"taken by {submission.acknowledged[0]}, refused by {submission.refused[0]}"
+            self.violated("one answer", f"{' '.join(map(format_item, items))}: {answers}")
+
+    def check_read(self, call: Call, floor: dict[Key, Item], at: str, items: dict[Key, Item]) -> None:
+        """A read was answered: nothing is lost of what was known as it began."""
+        for key, required in floor.items():
             item = items.get(key)
-            if item is None or item.version < least.version:
-                has = shown(item) if item is not None else "nothing"
-                self.broken("nothing lost", f"{call} at {at} began after {shown(least)} was known: has {has}")
+            if item is None or item.version < required.version:
+                present = format_item(item) if item is not None else "nothing"
+                text = f"{call} at {at} began after {format_item(required)} was known: has {present}"
+                self.violated("nothing lost", text)
         for item in items.values():
-            self._known(item, at)
-
-    def _known(self, item: Item, by: str) -> None:
-        """One content for each number, for good: also of one that a newer one has overtaken."""
-        key, version, content = _same(item)
-        for ledger, what in ((self.confirmed, "confirmed"), (self.contents, "in force")):
-            other = ledger.get((key, version))
-            if other is not None and other[0] != content:
-                self.broken("one content", f"{shown(item)} by {by}, another was {what} at {other[1]}")
-        self.confirmed.setdefault((key, version), (content, by))
-        self.versions.setdefault(key, set()).add(version)
-        old = self.acknowledged.get(item.key)
-        if old is None or old.version < item.version:
-            self.acknowledged[item.key] = item
-            self.known_since.append((self.now, item))
-
-    # At the end.
-
-    def trouble(self, machine: str | None) -> list[Any]:
-        row = [self.now, None, machine]
-        self.troubles.append(row)
-        return row
-
-    def over(self, row: list[Any]) -> None:
-        if row[1] is None:
-            row[1] = self.now
-
-    def alike(self, current: Iterable[str]) -> None:
-        """All has been whole for a while: the copies that live show the same."""
+            self._observe_confirmed(item, at)
+
+    def _observe_confirmed(self, item: Item, by: str) -> None:
+        """One content for each version, for good: also of one that a newer one supersedes."""
+        key, version, packed = _content_of(item)
+        for contents, state in ((self._confirmed, "confirmed"), (self._in_force, "in force")):
+            other = contents.get((key, version))
+            if other is not None and other[0] != packed:
+                self.violated(
+                    "one content", f"{format_item(item)} by {by}, another was {state} at {other[1]}"
+                )
+        self._confirmed.setdefault((key, version), (packed, by))
+        self._versions.setdefault(key, set()).add(version)
+        old = self._newest.get(key)
+        if old is None or old.version < version:
+            self._newest[key] = item
+            self._newest_since.append((self.now, item))
+
+    # Faults, and what holds at the end.
+
+    def fault_began(self, machine: str | None) -> FaultPeriod:
+        """From now on a machine, or all where it is None, need not answer in time."""
+        period = FaultPeriod(self.now, None, machine)
+        self.fault_periods.append(period)
+        return period
+
+    def fault_ended(self, period: FaultPeriod) -> None:
+        """Unless it has ended before."""
+        if period.ended_at is None:
+            period.ended_at = self.now
+
+    def recovery_began(self, machine: str) -> Recovery:
+        """The fault of a machine is over; whoever reads from it notes when it answers."""
+        recovery = Recovery(machine, self.now)
+        self.recoveries.append(recovery)
+        return recovery
+
+    def check_convergence(self, processes: Iterable[str]) -> None:
+        """Nothing was injected for a while: all that live show the same."""
         shown_by = {
-            learner: {
-                key: item for key, item in self.copies.get(learner, {}).items() if is_for_sidecars(item)
+            process: {
+                key: item for key, item in self.copies.get(process, {}).items() if is_for_sidecars(item)
             }
-            for learner in current
+            for process in processes
         }
         newest: dict[Key, Item] = {}
-        for held in shown_by.values():
-            for key, item in held.items():
+        for shown in shown_by.values():
+            for key, item in shown.items():
                 if key not in newest or newest[key].version < item.version:
                     newest[key] = item
-        for learner, held in shown_by.items():
-            if held != newest:
-                lacks = [shown(item) for key, item in newest.items() if held.get(key) != item]
-                self.broken("all alike", f"{learner} lacks {', '.join(lacks)}")
-
-    def back(self, machine: str) -> Return:
-        """Its trouble is over."""
-        row = Return(machine, self.now)
-        self.returned.append(row)
-        return row
-
-    def close(self) -> None:
-        self._refused()
-        self._answered()
-        self._returned()
-
-    def _refused(self) -> None:
+        for process, shown in shown_by.items():
+            if shown != newest:
+                lacks = [format_item(item) for key, item in newest.items() if shown.get(key) != item]
+                self.violated("all alike", f"{process} lacks {', '.join(lacks)}")
+
+    def finish(self) -> None:
+        """Check what can be judged only at the end of a run."""
+        self._check_refused()
+        self._check_answered()
+        self._check_recovered()
+
+    def _check_refused(self) -> None:
         """What was refused once never comes into force, by whatever copy of it."""
-        refused: dict[tuple[Key, int, bytes], Order] = {}
-        for order in self.orders.values():
-            if order.refused:
-                refused.update((_same(item), order) for item in order.items)
+        refused: dict[Content, Submission] = {}
+        for submission in self._submissions.values():
+            if submission.refused:
+                refused.update((_content_of(item), submission) for item in submission.items)
         for call in self.calls:
-            order = self.orders.get(frozenset(map(_same, call.items)))
-            if order is None or not order.refused:
+            submission = self._submissions.get(frozenset(map(_content_of, call.items)))
+            if submission is None or not submission.refused:
                 for item in call.items:
-                    refused.pop(_same(item), None)
-        for same, order in refused.items():
-            if same in self.seen:
-                what = " ".join(map(shown, order.items))
-                self.broken("refused is nowhere", f"{what}: refused by {order.refused[0]}, and was in force")
-
-    def _answered(self) -> None:
+                    refused.pop(_content_of(item), None)
+        for content, submission in refused.items():
+            if content in self._seen:
+                items = " ".join(map(format_item, submission.items))
+                text = f"{items}: refused by {submission.refused[0]}, and was in force"
+                self.violated("refused is nowhere", text)
+
+    def _check_answered(self) -> None:
+        """The first attempt of a call at a machine without a fault has its answer in time."""
         for call in self.calls:
-            for began, machine in call.tries:
-                until = began + ANSWERED_S
-                if until <= self.now and not self._troubled(machine, began, until):
-                    said = call.ended if call.said is None else call.said
-                    if (said is None or said > until) and not self._too_old(call):
-                        self.broken("answered", f"{call} at {machine} at {began:.3f}: no answer in time")
+            for started_at, machine in call.attempts:
+                deadline = started_at + ANSWER_LIMIT_S
+                if deadline <= self.now and not self._had_fault(machine, started_at, deadline):
+                    answered_at = call.ended_at if call.first_answer_at is None else call.first_answer_at
+                    is_late = answered_at is None or answered_at > deadline
+                    if is_late and not self._is_superseded(call):
+                        text = f"{call} at {machine} at {started_at:.3f}: no answer in time"
+                        self.violated("answered", text)
                     break
 
-    def _too_old(self, call: Call) -> bool:
-        """So many newer numbers were confirmed that what held under one of its own need not be known."""
+    def _is_superseded(self, call: Call) -> bool:
+        """So many newer versions were confirmed that what held under one of its own need not be known."""
         return any(
-            sum(each > item.version for each in self.versions.get(item.key, ())) >= PAST_KEPT
+            sum(version > item.version for version in self._versions.get(item.key, ())) >= RETAINED_VERSIONS
             for item in call.items
         )
 
-    def _returned(self) -> None:
-        for row in self.returned:
-            until = row.since + BACK_S
-            if until > self.now or self._troubled(row.machine, row.since + 1e-6, until):
+    def _check_recovered(self) -> None:
+        for recovery in self.recoveries:
+            deadline = recovery.since + RECOVERY_LIMIT_S
+            # Its own fault ends as it recovers; it is no excuse.
+            if deadline > self.now or self._had_fault(recovery.machine, recovery.since + 1e-6, deadline):
                 continue
-            if row.served is None or row.served > until:
-                self.broken("of use again", f"{row.machine} is back at {row.since:.3f}: no answer in time")
+            if recovery.served_at is None or recovery.served_at > deadline:
+                text = f"{recovery.machine} is back at {recovery.since:.3f}: no answer in time"
+                self.violated("of use again", text)
 
-    def _troubled(self, machine: str, began: float, until: float) -> bool:
-        return any(
-            whom in (None, machine) and since < until and (end is None or end > began)
-            for since, end, whom in self.troubles
-        )
+    def _had_fault(self, machine: str, start: float, end: float) -> bool:
+        return any(period.affects(machine, start, end) for period in self.fault_periods)
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -25,8 +25,9 @@
 from foxspread.mesh.replication.messages import ContactReply, ContactRequest, Report, decode
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
-from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
-from foxspread.mesh.simulation.invariants import shown
+from foxspread.mesh.simulation.simulated_storage import SYNC_S, SimulatedStorage
+from foxspread.mesh.simulation.events import format_item
+from foxspread.mesh.simulation.observations import FaultPeriod
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
@@ -36,10 +37,10 @@
     from foxspread.mesh.simulation.fleet import Fleet
 
 TICK_S = 0.1
-RECONNECT_S = 1.5  # links come up anew, whoever was missed is told
-PIECE_BYTES = 600  # of rows in a piece: so small that a set comes in many
-CUT_OFF_S = 0.3  # for a call on a machine without contact to a majority, as in a node
-SHOWN = THEIRS | {MEMBERS, LEASE}  # what the judge is shown
+RECONNECT_S = 1.5  # so often connections come up anew, and whoever was missed is told
+CHUNK_LIMIT_BYTES = 600  # of rows in a chunk: so small that a set takes many
+NO_QUORUM_TIMEOUT_S = 0.3  # for a call on a machine without contact to a majority, as in a node
+CHECKED_KINDS = THEIRS | {MEMBERS, LEASE}  # what the invariants are judged by
 
 
 @dataclass(frozen=True)
@@ -49,18 +50,18 @@
     acceptor: type[Acceptor] = Acceptor
     proposer: type[Proposer] = Proposer
     replica: type[Replica] = Replica
-    disk: type[SimDisk] = SimDisk
+    storage: type[SimulatedStorage] = SimulatedStorage
     quorum_contact: type[QuorumContact] = QuorumContact
     snapshot_transfer: type[SnapshotTransfer] = SnapshotTransfer
     readiness: type[Readiness] = Readiness
     reconfiguration: type[Reconfiguration] = Reconfiguration
 
 
-class Party:
+class Process:
     """One process that holds a copy: the core that a node runs too, in virtual time."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
-        self.fleet, self.world, self.name = fleet, fleet.world, name
+        self.fleet, self.simulation, self.name = fleet, fleet.simulation, name
         self.incarnation, self.up, self.frozen = 0, False, False
         self.rate, self.offset = 1.0, 0.0
         self.inbox: list[Callable[[], None]] = []
@@ -70,10 +71,10 @@
         return StateSync(
             self.clock,
             OwnRecord(self.name, None, 0),
-            self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.world.draw),
+            self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.simulation.draw),
             self._send,
-            lambda call: self.later(0.0, call),
-            lambda peer: isinstance(self.fleet.parties[peer], Machine),
+            lambda call: self.schedule(0.0, call),
+            lambda peer: isinstance(self.fleet.processes[peer], Machine),
             self._show,
             lambda node: None,
             lambda: None,
@@ -91,13 +92,13 @@
         return self.sync.anti_entropy
 
     @property
-    def named(self) -> str:
+    def incarnation_name(self) -> str:
         return f"{self.name}.{self.incarnation}"
 
     def clock(self) -> float:
-        return self.offset + self.rate * self.world.now
+        return self.offset + self.rate * self.simulation.now
 
-    def does(self, call: Callable[[], None]) -> None:
+    def execute(self, call: Callable[[], None]) -> None:
         """Now, or once it is not frozen; never in a later life."""
         if not self.up:
             return
@@ -107,40 +108,42 @@
         try:
             call()
         except InvariantViolation as error:
-            self.fleet.judge.broken("no broken invariant", f"{self.name}: {error}")
+            self.fleet.checker.violated("no broken invariant", f"{self.name}: {error}")
             self.kill()
 
-    def later(self, seconds: float, call: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, call: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.world.after(seconds, lambda: self.does(call) if incarnation == self.incarnation else None)
+        self.simulation.after(
+            seconds, lambda: self.execute(call) if incarnation == self.incarnation else None
+        )
 
     def thaw(self) -> None:
         if self.frozen:
             self.frozen = False
             inbox, self.inbox = self.inbox, []
             for call in inbox:
-                self.does(call)
+                self.execute(call)
 
     def kill(self) -> None:
         self.incarnation += 1
         self.up, self.frozen, self.inbox = False, False, []
-        self.fleet.links.lives[self.name] = self.incarnation
+        self.fleet.network.incarnations[self.name] = self.incarnation
 
     def start(self) -> None:
         self.up = True
         self.sync = self._new_sync()
-        self.fleet.judge.started(self.named)
-        self.later(0.0, self._connect)
-        self.later(self.world.draw() * TICK_S, self._tick)
+        self.fleet.checker.copy_started(self.incarnation_name)
+        self.schedule(0.0, self._connect)
+        self.schedule(self.simulation.draw() * TICK_S, self._tick)
 
     def _tick(self) -> None:
         self.sync.flush()
-        self.later(TICK_S / self.rate, self._tick)
+        self.schedule(TICK_S / self.rate, self._tick)
 
     # Peers.
 
     def _connect(self) -> None:
-        self.later(RECONNECT_S, self._connect)
+        self.schedule(RECONNECT_S, self._connect)
         for core in self.fleet.machines:
             if core.name != self.name:
                 self._peer_connected(core.name)
@@ -150,23 +153,24 @@
         self.sync.peer_disconnected(name)
         self.sync.peer_connected(name)
 
-    def heard(self, sender: str, message: Fields) -> None:
+    def receive(self, sender: str, message: Fields) -> None:
         if message["t"] == Hello.kind:
             self._peer_connected(sender)
         else:
             self.sync.handlers[message["t"]](sender, message)
 
     def _show(self, new: list[Item]) -> None:
-        self.fleet.judge.now = self.world.now
-        if new := [item.bare for item in new if item.kind in SHOWN]:
-            self.fleet.say(
-                f"{self.name} shows {' '.join(map(shown, new))}, upto {self.learner.committed_number[0]}"
+        self.fleet.checker.now = self.simulation.now
+        if new := [item.bare for item in new if item.kind in CHECKED_KINDS]:
+            self.fleet.log(
+                f"{self.name} shows {' '.join(map(format_item, new))}, "
+                f"upto {self.learner.committed_number[0]}"
             )
-            self.fleet.judge.shows(self.named, new)
+            self.fleet.checker.observe_items(self.incarnation_name, new)
 
     def _send(self, to: str, message: Fields) -> None:
         if not _is_empty(message):
-            self.fleet.links.send(self.name, to, message)
+            self.fleet.network.send(self.name, to, message)
 
 
 def _is_empty(message: Fields) -> bool:
@@ -178,14 +182,16 @@
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
-    def chunk(after: Offset = START, limit_bytes: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
+    def chunk(
+        after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, bare: bool = False
+    ) -> SnapshotChunk:
         return Learner.chunk(learner, after, limit_bytes, bare)
 
     learner.chunk = chunk
     return learner
 
 
-class Sidecar(Party):
+class Sidecar(Process):
     """A copy beside no disk: all that it knows it has from others, in each life anew."""
 
     def start(self) -> None:
@@ -194,69 +200,75 @@
 
     def _tick(self) -> None:
         if self.sync.readiness.asks(self.clock(), False):
-            to = self.world.pick(self.fleet.machines).name
+            to = self.simulation.choose(self.fleet.machines).name
             self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
 
     def _show(self, new: list[Item]) -> None:
         super()._show(new)
-        self.fleet.judge.tells(self.named, "shows the set", self.learner.items)
+        self.fleet.checker.check_freshness(self.incarnation_name, "shows the set", self.learner.items)
 
-    def heard(self, sender: str, message: Fields) -> None:
-        super().heard(sender, message)
+    def receive(self, sender: str, message: Fields) -> None:
+        super().receive(sender, message)
         if not self.was_ready and self.sync.readiness.ready(self.sync.has_items):
             self.was_ready = True
-            self.fleet.judge.tells(self.named, "is ready", self.learner.items)
+            self.fleet.checker.check_freshness(self.incarnation_name, "is ready", self.learner.items)
 
 
-class Machine(Party):
+class Machine(Process):
     """A machine with a disk. A spare is there, but not started until one is gone."""
 
     def __init__(self, fleet: "Fleet", name: str, spare: bool = False) -> None:
         super().__init__(fleet, name)
-        self.disk = fleet.cores.disk(fleet.world, name)
+        self.storage = fleet.cores.storage(fleet.simulation, name)
         self.core: Replica | None = None
-        self.cut = 0  # faults that cut it off
-        self.slow_start = 0.0  # it is away for so much longer, the next time
-        self.wiped: list | None = None  # the trouble that is over once it has caught up
+        self.partition_count = 0  # faults that isolate it
+        self.extra_downtime_s = 0.0  # it is away for so much longer, the next time
+        self.catch_up_period: FaultPeriod | None = None  # from its wipe until it votes again
         self.spare = spare
-        self.counts_from: float | None = None  # gone for good: from then on its successor counts
+        self.replaced_at: float | None = None  # lost for good: from then on its successor counts
         self.returning_until = 0.0  # till then it counts as lost
         self.leaving = False
 
     @property
     def lost(self) -> bool:
         """Whether it counts among those that are lost at once."""
-        if self.spare or (self.counts_from is not None and self.world.now >= self.counts_from):
+        if self.spare or (self.replaced_at is not None and self.simulation.now >= self.replaced_at):
             return False
-        return not self.works or self.leaving or self.world.now < self.returning_until
+        return not self.is_healthy or self.leaving or self.simulation.now < self.returning_until
 
     @property
-    def works(self) -> bool:
+    def is_healthy(self) -> bool:
         return (
             self.up
             and not self.frozen
-            and self.cut == 0
-            and not self.disk.stalled
-            and not self.disk.refuses
-            and self.disk.sync_s <= SYNC_S
+            and self.partition_count == 0
+            and not self.storage.stalled
+            and not self.storage.failing
+            and self.storage.sync_s <= SYNC_S
             and self.core.acceptor.voting
         )
 
     def start(self, first: bool = False) -> None:
         super().start()
-        fleet, world = self.fleet, self.world
-        saved = self.disk.open(fleet.seeds, first)
+        fleet, simulation = self.fleet, self.simulation
+        saved = self.storage.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
         self.sync.learner = _in_small_chunks(acceptor.learner)
-        draw = Chance(int(world.draw() * 2**32)).draw
+        draw = Chance(int(simulation.draw() * 2**32)).draw
         self.core = fleet.cores.replica(
-            self.clock, self.named, draw, self._put, self._send, self._hears_itself, self.sync.committed
+            self.clock,
+            self.incarnation_name,
+            draw,
+            self._write,
+            self._send,
+            self._schedule_call,
+            self.sync.committed,
         )
         self.core.proposer_class = fleet.cores.proposer
         self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
         self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
-        self.reconfiguration = fleet.cores.reconfiguration(self.name, self.named, draw)
+        self.reconfiguration = fleet.cores.reconfiguration(self.name, self.incarnation_name, draw)
         self.in_quorum_contact = False
         self.sync.replica = self
         self.core.begin(acceptor)
@@ -264,21 +276,21 @@
     def kill(self) -> None:
         super().kill()
         self.leaving = False
-        self.disk.power_lost()
+        self.storage.lose_power()
 
-    def _put(self, writes: list, then: Callable[[], None]) -> None:
+    def _write(self, writes: list, then: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.disk.write(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
+        self.storage.write(writes, lambda: self.execute(then) if incarnation == self.incarnation else None)
 
-    def _hears_itself(self, call: Callable[..., None], *told: Any) -> None:
-        self.later(0.0, lambda: call(*told))
+    def _schedule_call(self, call: Callable[..., None], *arguments: Any) -> None:
+        self.schedule(0.0, lambda: call(*arguments))
 
     def _tick(self) -> None:
         self.core.tick()
-        if self.wiped is not None and self.core.acceptor.voting:
-            self.fleet.say(f"{self.name} has caught up")
-            self.fleet.judge.over(self.wiped)
-            self.wiped = None
+        if self.catch_up_period is not None and self.core.acceptor.voting:
+            self.fleet.log(f"{self.name} has caught up")
+            self.fleet.checker.fault_ended(self.catch_up_period)
+            self.catch_up_period = None
         now = self.clock()
         if (request := self.quorum_contact.request(now, self._report())) is not None:
             for each in self.fleet.machines:
@@ -286,9 +298,9 @@
                     self._send(each.name, request.packed())
         self._announce_contact()
         if self.ready:
-            self.fleet.judge.tells(self.named, "is ready", self.learner.items)
+            self.fleet.checker.check_freshness(self.incarnation_name, "is ready", self.learner.items)
         if self.fleet.plan.members_change:
-            self._replace(now)
+            self._reconfigure(now)
         super()._tick()
 
     # Whether it may speak.
@@ -361,26 +373,26 @@
             0,
         )
 
-    def _replace(self, now: float) -> None:
+    def _reconfigure(self, now: float) -> None:
         view = self._view(now)
         if self.leaving and self.reconfiguration.may_leave(now, view):
             return self.fleet.faults.has_left(self)
         if (items := self.reconfiguration.step(now, view)) is None:
             return
 
-        def told(outcome: bool | Failure) -> None:
-            self.fleet.judge.acted(self.named, items, outcome)
+        def on_outcome(outcome: bool | Failure) -> None:
+            self.fleet.checker.lease_used(self.incarnation_name, items, outcome)
             self.reconfiguration.on_outcome(self.clock(), outcome)
 
-        self.core.call(items, told)
+        self.core.call(items, on_outcome)
 
     # What it hears.
 
-    def heard(self, sender: str, message: Fields) -> None:
+    def receive(self, sender: str, message: Fields) -> None:
         kind = message["t"]
         if kind == Hello.kind or kind in self.sync.handlers:
-            super().heard(sender, message)
-            if kind == Hello.kind and isinstance(self.fleet.parties[sender], Machine):
+            super().receive(sender, message)
+            if kind == Hello.kind and isinstance(self.fleet.processes[sender], Machine):
                 self.quorum_contact.next_request_at = self.clock()
                 self.core.on_connected(sender)
         elif kind == ContactRequest.kind:
@@ -391,11 +403,11 @@
         else:
             self.core.receive(sender, message)
 
-    def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
+    def submit(self, items: tuple[Item, ...], on_answer: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
-        timeout_s = CALL_TIMEOUT_S if self.in_contact() else CUT_OFF_S
-        self.core.call(list(items), lambda outcome: tell(outcome, self.theirs()), timeout_s)
+        timeout_s = CALL_TIMEOUT_S if self.in_contact() else NO_QUORUM_TIMEOUT_S
+        self.core.call(list(items), lambda outcome: on_answer(outcome, self.readable_items()), timeout_s)
 
-    def theirs(self) -> dict[Key, Item]:
+    def readable_items(self) -> dict[Key, Item]:
         """What a read tells."""
         return {key: item.bare for key, item in self.learner.items.items() if item.kind in THEIRS}
--- /dev/null
+++ b/foxspread/mesh/simulation/state_key.py
@@ -0,0 +1,64 @@
+"""Keys and copies of a cluster's state: what makes two states the same, and what two may share."""
+
+from copy import copy as shallow_copy
+from dataclasses import replace
+from hashlib import blake2b
+from typing import Any, TypeVar
+
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.proposer import Proposer
+
+KEY_BYTES = 16  # two of a million states have the same key once in 10**26
+
+Core = TypeVar("Core", Acceptor, Proposer, Learner)
+
+
+def digest_of(rows: list[Any]) -> bytes:
+    """A key for these values, by how they print."""
+    return blake2b(repr(rows).encode(), digest_size=KEY_BYTES).digest()
+
+
+def core_key(acceptor: Acceptor, proposer: Proposer) -> bytes:
+    """The same for cores of a machine that will behave alike."""
+    learner = acceptor.learner
+    rows = (
+        (
+            acceptor.disk,
+            acceptor.voting,
+            acceptor.promised,
+            acceptor.accepted,
+            sorted(acceptor.disks.items()),
+        ),
+        sorted((item.key, item.version, str(item.content)) for item in acceptor.delta.values()),
+        (
+            learner.committed_number,
+            sorted(learner.changed_at.items()),
+            sorted(map(str, learner.items.values())),
+        ),
+        sorted(map(str, acceptor.enrolment_replies.items())),
+        (
+            proposer.incarnation,
+            proposer.highest_seen,
+            proposer.proposal_number,
+            len(proposer.waiting),
+            len(proposer.running),
+        ),
+        (sorted(map(str, proposer.promises.items())), str(sorted(proposer.acceptances))),
+        sorted(map(str, (proposer.proposed_delta or {}).values())),
+    )
+    return repr(rows).encode()
+
+
+def clone_core(core: Core) -> Core:
+    """One with its own containers; what they contain is never changed, but for calls."""
+    clone = shallow_copy(core)
+    for name, value in vars(core).items():
+        if isinstance(value, dict | list | set):
+            vars(clone)[name] = shallow_copy(value)
+        elif isinstance(value, Learner):
+            vars(clone)[name] = clone_core(value)
+    for name in ("waiting", "running"):
+        if name in vars(clone):
+            vars(clone)[name] = [replace(call) for call in vars(clone)[name]]
+    return clone
--- a/tests/mesh/replication/scripted_replicas.py
+++ b/tests/mesh/replication/scripted_replicas.py
@@ -2,8 +2,9 @@
 
 from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
 from foxspread.mesh.replication.messages import ProposerReply
-from foxspread.mesh.simulation.fleet import Cores
-from foxspread.mesh.simulation.explore import Case, Table, loads
+from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.actions import Attempt, Crash, Deliver, Wipe
+from foxspread.mesh.simulation.cluster_state import Case, ClusterState, loads
 
 THREE, FIVE = ("a", "b", "c"), ("a", "b", "c", "d", "x")
 
@@ -17,168 +18,168 @@
     return Item(ROUTE, name, version, {"destination": "h", "rule": rule})
 
 
-def laid(members: tuple[str, ...], *calls: tuple[str, Item], cores: Cores = Cores()) -> Table:
-    return Table.laid(Case(members, calls, starts=4, crashes=9, wipes=9), cores)
+def create_state(members: tuple[str, ...], *calls: tuple[str, Item], cores: Cores = Cores()) -> ClusterState:
+    return ClusterState.create(Case(members, calls, attempts=4, crashes=9, wipes=9), cores)
 
 
-def ask(table: Table, proposer: str, others: str, kind: str = "prepare", back: bool = True) -> None:
+def ask(state: ClusterState, proposer: str, others: str, kind: str = "prepare", back: bool = True) -> None:
     """`others` hear the proposer; `back`: and it hears what they answer."""
     for other in others:
-        table.passed(proposer, other, kind, newest=True)
+        state.deliver_kind(proposer, other, kind, newest=True)
         if back:
-            answer(table, other, proposer)
+            answer(state, other, proposer)
 
 
-def put(table: Table, proposer: str, others: str, back: bool = True) -> None:
-    ask(table, proposer, others, "accept", back)
+def put(state: ClusterState, proposer: str, others: str, back: bool = True) -> None:
+    ask(state, proposer, others, "accept", back)
 
 
-def answer(table: Table, sender: str, to: str) -> None:
+def answer(state: ClusterState, sender: str, to: str) -> None:
     """The newest that it has said of a ballot, if anything."""
-    for number in reversed(range(len(table.flying))):
-        if table.flying[number][:2] == (sender, to):
-            if isinstance(loads(table.flying[number][2]), ProposerReply):
-                return table.do(("deliver", number))
+    for number in reversed(range(len(state.in_flight))):
+        if state.in_flight[number][:2] == (sender, to):
+            if isinstance(loads(state.in_flight[number][2]), ProposerReply):
+                return state.do(Deliver(number))
 
 
-def begin(table: Table, proposer: str, above: int | None = None) -> None:
+def begin(state: ClusterState, proposer: str, above: int | None = None) -> None:
     """Its next ballot; `above`: it has heard of that one."""
     if above is not None:
-        table.proposers[proposer].highest_seen = above
-    table.do(("start", proposer))
+        state.proposers[proposer].highest_seen = above
+    state.do(Attempt(proposer))
 
 
-def enrol(table: Table, name: str, others: str) -> None:
+def enrol(state: ClusterState, name: str, others: str) -> None:
     for other in others:
-        table.passed(name, other, "enrol", newest=True)
+        state.deliver_kind(name, other, "enrol", newest=True)
     for other in others:
-        table.passed(other, name, "enrolled", newest=True)
+        state.deliver_kind(other, name, "enrolled", newest=True)
 
 
-def wipe(table: Table, name: str, others: str) -> None:
+def wipe(state: ClusterState, name: str, others: str) -> None:
     """And it takes part again once these have noted it."""
-    table.do(("wipe", name))
-    enrol(table, name, others)
+    state.do(Wipe(name))
+    enrol(state, name, others)
 
 
 # Orders that a sound core stands, each for a mistake that they show.
 
 
-def mixed_acceptances(cores: Cores) -> Table:
+def mixed_acceptances(cores: Cores) -> ClusterState:
     """x accepts and is wiped; c, asked by its new disk, accepts only then: two disks hold what three said."""
-    table = laid(FIVE, ("a", service()), cores=cores)
-    begin(table, "a")
-    ask(table, "a", "bd")
-    put(table, "a", "x", back=False)
-    wipe(table, "x", "bcd")
-    answer(table, "x", "a")
-    put(table, "a", "c")
-    return table
+    state = create_state(FIVE, ("a", service()), cores=cores)
+    begin(state, "a")
+    ask(state, "a", "bd")
+    put(state, "a", "x", back=False)
+    wipe(state, "x", "bcd")
+    answer(state, "x", "a")
+    put(state, "a", "c")
+    return state
 
 
-def mixed_promises(cores: Cores) -> Table:
+def mixed_promises(cores: Cores) -> ClusterState:
     """x promises 2 and is wiped; its new disk votes for 1, which b, that promises 2 then, never sees."""
-    table = laid(FIVE, ("a", service(tag=1)), ("d", service(tag=2)), cores=cores)
-    begin(table, "a", above=1)
-    ask(table, "a", "x", back=False)
-    wipe(table, "x", "bcd")
-    begin(table, "d")
-    ask(table, "d", "xc")
-    put(table, "d", "xc")
-    table.passed("x", "a", "promise")
-    ask(table, "a", "b")
-    return table
-
-
-def forgotten_promise(cores: Cores) -> Table:
+    state = create_state(FIVE, ("a", service(tag=1)), ("d", service(tag=2)), cores=cores)
+    begin(state, "a", above=1)
+    ask(state, "a", "x", back=False)
+    wipe(state, "x", "bcd")
+    begin(state, "d")
+    ask(state, "d", "xc")
+    put(state, "d", "xc")
+    state.deliver_kind("x", "a", "promise")
+    ask(state, "a", "b")
+    return state
+
+
+def forgotten_promise(cores: Cores) -> ClusterState:
     """x and b promise 2; x is wiped and asked with 1."""
-    table = laid(FIVE, ("a", service(tag=1)), ("d", service(tag=2)), cores=cores)
-    begin(table, "a", above=1)
-    ask(table, "a", "xb", back=False)
-    wipe(table, "x", "bcd")
-    begin(table, "d")
-    ask(table, "d", "xc")
-    if table.proposers["d"].proposed_delta:
-        put(table, "d", "xc")
+    state = create_state(FIVE, ("a", service(tag=1)), ("d", service(tag=2)), cores=cores)
+    begin(state, "a", above=1)
+    ask(state, "a", "xb", back=False)
+    wipe(state, "x", "bcd")
+    begin(state, "d")
+    ask(state, "d", "xc")
+    if state.proposers["d"].proposed_delta:
+        put(state, "d", "xc")
     for other in "xb":
-        table.passed(other, "a", "promise")
-    return table
+        state.deliver_kind(other, "a", "promise")
+    return state
 
 
-def early_refusal(cores: Cores) -> Table:
+def early_refusal(cores: Cores) -> ClusterState:
     """What a call was refused against is never settled; an earlier ballot with the call is."""
     calls = ("a", service(tag=1)), ("b", service(tag=2)), ("c", service("w"))
-    table = laid(FIVE, *calls, cores=cores)
-    begin(table, "a")
-    ask(table, "a", "cd")
-    put(table, "a", "c", back=False)
-    begin(table, "b", above=1)
-    ask(table, "b", "dx")
-    begin(table, "a", above=2)
-    ask(table, "a", "bd")
-    table.do(("crash", "a"))
-    begin(table, "c", above=3)
-    ask(table, "c", "dx")
-    put(table, "c", "dx")
-    return table
-
-
-def two_acceptances(cores: Cores) -> Table:
+    state = create_state(FIVE, *calls, cores=cores)
+    begin(state, "a")
+    ask(state, "a", "cd")
+    put(state, "a", "c", back=False)
+    begin(state, "b", above=1)
+    ask(state, "b", "dx")
+    begin(state, "a", above=2)
+    ask(state, "a", "bd")
+    state.do(Crash("a"))
+    begin(state, "c", above=3)
+    ask(state, "c", "dx")
+    put(state, "c", "dx")
+    return state
+
+
+def two_acceptances(cores: Cores) -> ClusterState:
     """a holds one of ballot 1, c one of ballot 2, which is chosen."""
-    table = laid(THREE, ("a", service(tag=1)), ("b", service(tag=2)), cores=cores)
-    begin(table, "a")
-    ask(table, "a", "c")
-    begin(table, "b", above=1)
-    ask(table, "b", "c")
-    put(table, "b", "c")
-    begin(table, "a", above=2)
-    ask(table, "a", "c")
-    return table
-
-
-def asked_of_one(cores: Cores) -> Table:
+    state = create_state(THREE, ("a", service(tag=1)), ("b", service(tag=2)), cores=cores)
+    begin(state, "a")
+    ask(state, "a", "c")
+    begin(state, "b", above=1)
+    ask(state, "b", "c")
+    put(state, "b", "c")
+    begin(state, "a", above=2)
+    ask(state, "a", "c")
+    return state
+
+
+def asked_of_one(cores: Cores) -> ClusterState:
     """b misses a call that a and c hold; c is wiped, and b and c go on while a is away."""
-    table = laid(THREE, ("a", service()), ("b", service("w")), cores=cores)
-    begin(table, "a")
-    ask(table, "a", "c")
-    put(table, "a", "c")
-    table.do(("wipe", "c"))
-    if not table.acceptors["c"].voting:
-        enrol(table, "c", "b")
-    if not table.acceptors["c"].voting:
-        enrol(table, "c", "a")
-    return table
-
-
-def power_between(cores: Cores) -> Table:
+    state = create_state(THREE, ("a", service()), ("b", service("w")), cores=cores)
+    begin(state, "a")
+    ask(state, "a", "c")
+    put(state, "a", "c")
+    state.do(Wipe("c"))
+    if not state.acceptors["c"].voting:
+        enrol(state, "c", "b")
+    if not state.acceptors["c"].voting:
+        enrol(state, "c", "a")
+    return state
+
+
+def power_between(cores: Cores) -> ClusterState:
     """All lose power once a majority has answered, and another carries on."""
-    table = laid(THREE, ("a", service(tag=1)), ("c", service(tag=2)), cores=cores)
-    begin(table, "a")
-    ask(table, "a", "b")
-    put(table, "a", "b")
+    state = create_state(THREE, ("a", service(tag=1)), ("c", service(tag=2)), cores=cores)
+    begin(state, "a")
+    ask(state, "a", "b")
+    put(state, "a", "b")
     for name in "abc":
         if name != "c":
-            table.do(("crash", name))
-    begin(table, "c", above=0)
-    ask(table, "c", "b")
-    if table.proposers["c"].proposed_delta:
-        put(table, "c", "b")
-    return table
+            state.do(Crash(name))
+    begin(state, "c", above=0)
+    ask(state, "c", "b")
+    if state.proposers["c"].proposed_delta:
+        put(state, "c", "b")
+    return state
 
 
-def power_before_accept(cores: Cores) -> Table:
+def power_before_accept(cores: Cores) -> ClusterState:
     """c promises 2, loses power, and is asked with 1 by one that has not heard of 2."""
-    table = laid(THREE, ("a", service(tag=1)), ("b", service(tag=2)), cores=cores)
-    begin(table, "a", above=1)
-    ask(table, "a", "c", back=False)
-    table.do(("crash", "c"))
-    begin(table, "b")
-    ask(table, "b", "c")
-    if table.proposers["b"].proposed_delta:
-        put(table, "b", "c")
-    table.passed("c", "a", "promise")
-    put(table, "a", "c")
-    return table
+    state = create_state(THREE, ("a", service(tag=1)), ("b", service(tag=2)), cores=cores)
+    begin(state, "a", above=1)
+    ask(state, "a", "c", back=False)
+    state.do(Crash("c"))
+    begin(state, "b")
+    ask(state, "b", "c")
+    if state.proposers["b"].proposed_delta:
+        put(state, "b", "c")
+    state.deliver_kind("c", "a", "promise")
+    put(state, "a", "c")
+    return state
 
 
 ORDERS = {
