--- a/tests/mesh/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -14,8 +14,8 @@
     return Item(SERVICE, name, version, {"name": name, "tag": tag})
 
 
-class Accepting(TestCase):
-    def test_what_an_accept_brings_along_is_shown(self) -> None:
+class Acceptance(TestCase):
+    def test_missing_rows_of_an_accept_are_reported_as_new_items(self) -> None:
         # Guards the way of items to a machine that was cut off: its copy had them, its routes never did.
         acceptor = Acceptor(
             "a", RecoveredState((0, "a0"), ("a", "b", "c"), voting=True, members_confirmed=True)
@@ -25,7 +25,7 @@
         self.assertIsInstance(response.reply, Accepted)
         self.assertEqual([service("v")], response.new_items)
 
-    def test_a_copy_from_before_enrols_like_an_empty_disk(self) -> None:
+    def test_a_rolled_back_disk_enrols_like_an_empty_one(self) -> None:
         # Guards: an older file put back votes with what it has forgotten.
         old, *others = (
             Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_confirmed=True))
@@ -43,7 +43,7 @@
         self.assertIsInstance(old.prepare(Prepare((2, "v"), 0, NONE)).reply, Nack)
         self.assertEqual((1, "x"), others[0].disks["a"])
 
-    def test_an_empty_disk_takes_the_members_from_those_that_know_them(self) -> None:
+    def test_an_empty_disk_adopts_the_members_of_the_enrolment_replies(self) -> None:
         # Guards: seeds that were exchanged while its disk was lost; it proposed under a set that never was.
         others = [
             Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_confirmed=True))
@@ -56,29 +56,32 @@
         self.assertIn(SetMeta("members", ["a", "b", "c"]), empty.initial_writes())
 
 
-class Bounds(TestCase):
-    def holding(self, me: str, count: int) -> Acceptor:
+class Limits(TestCase):
+    def acceptor_with_items(self, me: str, count: int) -> Acceptor:
         acceptor = Acceptor(me, RecoveredState((0, me), ("a", "b", "c"), voting=True, members_confirmed=True))
         acceptor.learn((count, "w"), [CommittedItem(service(f"v{n}"), (n + 1, "w")) for n in range(count)])
         return acceptor
 
-    def test_a_message_brings_so_much_along_and_no_more(self) -> None:
+    def test_missing_rows_over_the_limit_are_left_out(self) -> None:
         # Guards: a member far behind was told all that it lacks in one message, past what a link takes.
-        for more, brought in ((0, MISSING_ROWS_LIMIT), (1, None)):
-            ahead = self.holding("b", MISSING_ROWS_LIMIT + more)
+        for extra, expected in ((0, MISSING_ROWS_LIMIT), (1, None)):
+            ahead = self.acceptor_with_items("b", MISSING_ROWS_LIMIT + extra)
             promise = ahead.prepare(Prepare((9999, "w"), 0, NONE)).reply
             enrolled = ahead.enroll("c", Enroll((1, "x"))).reply
             sent = [promise.missing_rows, enrolled.rows]
-            self.assertEqual([brought] * 2, [rows if rows is None else len(rows) for rows in sent])
+            self.assertEqual([expected] * 2, [rows if rows is None else len(rows) for rows in sent])
 
-    def test_a_proposer_that_is_too_far_behind_proposes_nothing(self) -> None:
+    def test_a_proposer_too_far_behind_waits_for_a_snapshot(self) -> None:
         # It waits for the pieces; by then it proposes on what is settled.
-        ahead, behind = self.holding("b", MISSING_ROWS_LIMIT + 1), self.holding("a", 1)
+        ahead, behind = (
+            self.acceptor_with_items("b", MISSING_ROWS_LIMIT + 1),
+            self.acceptor_with_items("a", 1),
+        )
         proposer = Proposer(behind, "p", lambda: 0.5)
         out = proposer.submit(0.0, "t", [service("mine")], 9.0)
         prepare = out.sends[0].message
         sends = proposer.receive(0.0, "b", ahead.prepare(prepare).reply).sends
-        sends += proposer.receive(0.0, "c", self.holding("c", 1).prepare(prepare).reply).sends
+        sends += proposer.receive(0.0, "c", self.acceptor_with_items("c", 1).prepare(prepare).reply).sends
         accepts = [message for _, message in sends if isinstance(message, Accept)]
         self.assertEqual(([], None), (accepts, proposer.proposed_delta))
         behind.learn(ahead.learner.committed_number, ahead.learner.changed_since(NONE))
@@ -87,7 +90,7 @@
         sends = [proposer.receive(5.0, me, promise).sends for me, promise in zip("ba", promises)][-1]
         self.assertEqual({Accept}, {type(message) for _, message in sends})
 
-    def test_identities_are_noted_of_so_many_members_first(self) -> None:
+    def test_recorded_disk_identities_are_bounded_members_first(self) -> None:
         # Guards: one more identity for each machine that ever asked, kept for good.
         acceptor = Acceptor(
             "a", RecoveredState((0, "a"), ("a", "b", "c"), voting=True, members_confirmed=True)
--- a/tests/mesh/replication/test_learner.py
+++ b/tests/mesh/replication/test_learner.py
@@ -34,11 +34,11 @@
     return Item(REFUSED, name, 1, [409, "two", time])
 
 
-def kept_refused(version: int, time: int) -> Item:
+def collect_refused(version: int, time: int) -> Item:
     return Item(KEPT, "refused", version, {"t": time})
 
 
-def kept_dropped(version: int, floor: int, number: int) -> Item:
+def collect_dropped(version: int, floor: int, number: int) -> Item:
     return Item(KEPT, "dropped", version, {"floor": floor, "at": [number, INCARNATION]})
 
 
@@ -53,22 +53,22 @@
     return {f"{item.name}{item.version}" for item in learner.items.values()}
 
 
-class Pieces(TestCase):
-    def test_each_row_once_in_order_of_ballots_within_the_bytes(self) -> None:
+class Chunks(TestCase):
+    def test_chunks_hold_each_row_once_in_order_within_the_limit(self) -> None:
         # One call of many items is one ballot: it has to be cut inside. A large row goes alone.
         first = [service(f"s{number:03}", 1, "x" * (number % 7)) for number in range(200)]
         learner = committed((1, first), (2, [service("s100", 2, "y" * 5000), service("s001", 2)]), (3, []))
-        place, found, sizes = START, [], []
+        offset, rows, sizes = START, [], []
         while True:
-            chunk = learner.chunk(place, 1000)
-            found += chunk.rows
+            chunk = learner.chunk(offset, 1000)
+            rows += chunk.rows
             sizes.append(len(chunk.rows))
             if not chunk.more:
                 break
-            place = offset_of(chunk.rows[-1])
-        self.assertEqual(sorted(found, key=offset_of), found)
-        self.assertEqual(learner.items, {item.key: item for item, _ in map(unpack_row, found)})
-        self.assertEqual(len(found), len(learner.items))
+            offset = offset_of(chunk.rows[-1])
+        self.assertEqual(sorted(rows, key=offset_of), rows)
+        self.assertEqual(learner.items, {item.key: item for item, _ in map(unpack_row, rows)})
+        self.assertEqual(len(rows), len(learner.items))
         self.assertGreater(len(sizes), 8)
         self.assertIn(1, sizes)  # the large one
         self.assertEqual(
@@ -76,26 +76,32 @@
             (chunk.committed_number, learner.chunk(end_of_proposal(at(2))).rows, chunk.more),
         )
 
-    def test_a_digest_stands_for_all_that_is_said(self) -> None:
+    def test_a_digest_covers_every_field_of_a_chunk(self) -> None:
         learner = committed((1, [service("a", 1), service("b", 1)]))
         chunk = learner.chunk(START, 1)
-        said = (chunk.rows, START, chunk.committed_number, chunk.more, chunk.horizon)
-        self.assertEqual(chunk.digest, chunk_digest(*said))
+        fields = (chunk.rows, START, chunk.committed_number, chunk.more, chunk.horizon)
+        self.assertEqual(chunk.digest, chunk_digest(*fields))
         others = (learner.chunk().rows, end_of_proposal(at(1)), at(2), False, at(1))
         for number, other in enumerate(others):
             self.assertNotEqual(
-                chunk.digest, chunk_digest(*said[:number], other, *said[number + 1 :]), number
+                chunk.digest, chunk_digest(*fields[:number], other, *fields[number + 1 :]), number
             )
 
-    def test_without_a_disk_nothing_of_the_keepers_own(self) -> None:
+    def test_a_bare_chunk_leaves_out_what_only_replicas_need(self) -> None:
         past = (3, ((4, "digest"),))
-        rows = [Item(SERVICE, "a", 5, {}, past), refused("r", 3), kept_refused(1, 2), kept_dropped(1, 2, 0)]
+        rows = [
+            Item(SERVICE, "a", 5, {}, past),
+            refused("r", 3),
+            collect_refused(1, 2),
+            collect_dropped(1, 2, 0),
+        ]
         chunk = committed((1, rows)).chunk(bare=True)
         self.assertEqual(
-            [pack_row(kept_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))], chunk.rows
+            [pack_row(collect_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))],
+            chunk.rows,
         )
 
-    def test_places_that_are_stale_do_not_pile_up(self) -> None:
+    def test_offsets_of_replaced_rows_do_not_accumulate(self) -> None:
         learner = Learner()
         for number in range(1, 2000):
             learner.fold(at(number), [(service(f"s{number % 5}", number), at(number))])
@@ -105,8 +111,8 @@
         )
 
 
-class Folded(TestCase):
-    def test_what_is_past_may_grow_alone(self) -> None:
+class Fold(TestCase):
+    def test_an_items_past_may_grow_without_a_new_version(self) -> None:
         # An older version confirmed late is known from then on; for those who show items it is no news.
         learner = committed((1, [service("a", 5)]))
         grown = Item(SERVICE, "a", 5, {"tag": 0}, (3, ((4, "digest"),)))
@@ -121,7 +127,7 @@
         # Now, and whenever one of that time comes later, in one fold or in many; the clock never goes back.
         changes = [
             (1, [refused("a", 5), refused("b", 9), service("s", 1)]),
-            (2, [kept_refused(1, 9)]),
+            (2, [collect_refused(1, 9)]),
             (3, [refused("c", 8), refused("a", 12)]),
         ]
         learner = committed(*changes)
@@ -137,54 +143,54 @@
         late.fold(at(4), [(refused("d", 3), at(4)), (service("s", 2), at(4))])
         self.assertEqual([(REFUSED, "d")], late.collected)
 
-    def test_dropped_items_are_collected_and_never_come_back(self) -> None:
+    def test_collected_items_are_not_revived_by_late_rows(self) -> None:
         # Only those that are old by both bounds go; rows told before, and late, bring nothing back.
         first = (1, [service("a", 1), service("b", 1), service("c", 1), service("d", 1)])
         second = (2, [dropped("a", 2), dropped("b", 7), service("c", 2)])
         third = (3, [dropped("d", 3)])
         learner = committed(first, second, third)
-        early = [unpack_row(each) for each in learner.chunk().rows]
-        learner.fold(at(4), [(kept_dropped(1, 3, 2), at(4))])
+        early_rows = [unpack_row(each) for each in learner.chunk().rows]
+        learner.fold(at(4), [(collect_dropped(1, 3, 2), at(4))])
         self.assertEqual({"b7", "c2", "d3", "dropped1"}, names(learner))
         self.assertEqual((at(2), [(SERVICE, "a")]), (learner.horizon, learner.collected))
         old = [(service("a", 1), at(1))]
-        self.assertEqual([], learner.fold(at(4), old + early) + learner.fold(at(5), old + early))
+        self.assertEqual([], learner.fold(at(4), old + early_rows) + learner.fold(at(5), old + early_rows))
         self.assertNotIn((SERVICE, "a"), learner.items)
         self.assertEqual([service("a", 9)], learner.fold(at(6), [(service("a", 9), at(6))]))
 
-    def test_read_from_a_disk_a_copy_is_the_same(self) -> None:
+    def test_a_learner_read_from_its_rows_is_the_same(self) -> None:
         learner = committed(
             (1, [service("a", 1), refused("r", 4)]),
-            (2, [dropped("a", 2), kept_refused(1, 3)]),
-            (3, [kept_dropped(1, 2, 2), service("b", 3)]),
+            (2, [dropped("a", 2), collect_refused(1, 3)]),
+            (3, [collect_dropped(1, 2, 2), service("b", 3)]),
         )
-        again = Learner()
-        again.fold(
+        copied = Learner()
+        copied.fold(
             learner.committed_number,
             [unpack_row(pack_row(item, learner.changed_at[key])) for key, item in learner.items.items()],
         )
-        for each in (learner, again):
+        for each in (learner, copied):
             each.offsets, each.collected = each.chunk().rows, []
-        self.assertEqual(vars(learner), vars(again))
+        self.assertEqual(vars(learner), vars(copied))
 
 
-class Replaced(TestCase):
-    def test_the_whole_set_takes_the_place_of_an_older_one(self) -> None:
+class Replace(TestCase):
+    def test_replace_reports_what_is_gone_as_dropped(self) -> None:
         # What was dropped and collected while it was away is told as dropped, before what took its place.
         old = committed((1, [service("a", 1), Item(ROUTE, "r", 1, {}), refused("x", 1)]))
-        new = committed((7, [service("a", 6), service("b", 7), kept_dropped(1, 5, 6)]))
-        told = old.replace(new.committed_number, [unpack_row(each) for each in new.chunk().rows])
-        self.assertEqual(Item(ROUTE, "r", 1, None), told[0])
-        self.assertEqual({"a6", "b7", "dropped1"}, {f"{each.name}{each.version}" for each in told[1:]})
+        new = committed((7, [service("a", 6), service("b", 7), collect_dropped(1, 5, 6)]))
+        reported = old.replace(new.committed_number, [unpack_row(each) for each in new.chunk().rows])
+        self.assertEqual(Item(ROUTE, "r", 1, None), reported[0])
+        self.assertEqual({"a6", "b7", "dropped1"}, {f"{each.name}{each.version}" for each in reported[1:]})
         self.assertEqual({(ROUTE, "r"), (REFUSED, "x")}, set(old.collected))
         old.collected = []
         self.assertEqual(vars(new), vars(old))
 
-    def test_not_by_an_older_one_nor_by_one_of_another_chain(self) -> None:
+    def test_replace_refuses_an_older_or_contradicting_set(self) -> None:
         learner = committed((1, [service("a", 2)]), (5, [service("b", 5)]))
-        held = dict(learner.items)
+        items_before = dict(learner.items)
         for committed_number in (NONE, at(4), at(5)):
             self.assertEqual([], learner.replace(committed_number, []))
-        self.assertEqual(held, learner.items)
+        self.assertEqual(items_before, learner.items)
         for wrong in (service("a", 1), service("a", 2, "other")):
             self.assertRaises(InvariantViolation, learner.replace, at(6), [(wrong, at(6))])
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -48,8 +48,8 @@
     proposer.submit(0.0, item, [item], 1e9)
 
 
-class Orders(TestCase):
-    def test_orders_that_a_mistake_breaks(self) -> None:
+class MessageOrders(TestCase):
+    def test_each_mutant_fails_in_the_script_that_shows_it(self) -> None:
         # The cores stand each; every broken one falls by its own: else an order tests nothing.
         for name, order in ORDERS.items():
             self.assertEqual([], order(Cores()).faults, name)
@@ -58,7 +58,7 @@
                 order = next(order for name, order in ORDERS.items() if name.startswith(begins))
                 self.assertNotEqual([], order(CORES[broken]).faults, (broken, begins))
 
-    def test_all_orders_of_small_cases(self) -> None:
+    def test_all_message_orders_of_small_cases_are_safe(self) -> None:
         # Nothing is out of reach of a schedule: every order, of messages, crashes, wipes; states are counted
         # so that a case that shrinks by mistake is seen.
         one, two = (("a", V1),), (("a", V1), ("b", V2))
@@ -68,17 +68,17 @@
             (Case(calls=one, wipes=1, may_wipe=("c",)), 500),
             (Case(calls=two, news=True, members=("a", "b")), 50),
         )
-        for case, least in cases:
-            found = explore(case)
-            self.assertEqual((True, []), (found.ended, found.way + found.faults), case)
-            self.assertGreater(found.states, least, case)
+        for case, min_states in cases:
+            result = explore(case)
+            self.assertEqual((True, []), (result.ended, result.way + result.faults), case)
+            self.assertGreater(result.states, min_states, case)
 
-    def test_the_explorer_finds_what_is_broken(self) -> None:
+    def test_the_explorer_finds_mutants(self) -> None:
         for name in ("any ballot is accepted", "acknowledges after one acceptance"):
-            found = explore(Case(calls=(("a", V1), ("b", V2))), CORES[name], most=20_000)
-            self.assertNotEqual([], found.faults, name)
+            result = explore(Case(calls=(("a", V1), ("b", V2))), CORES[name], most=20_000)
+            self.assertNotEqual([], result.faults, name)
 
-    def test_three_writers_on_one_version(self) -> None:
+    def test_one_of_three_writers_of_one_version_succeeds(self) -> None:
         # Whoever comes first with whichever machine, one content is taken and two are refused.
         items = {name: service(tag=n) for n, name in enumerate(THREE)}
         for first, second, third in permutations(THREE):
@@ -93,7 +93,7 @@
             self.assertEqual([], table.faults)
             self.assertEqual([False, False, True], sorted(taken for _, taken in table.told))
 
-    def test_a_writer_dies_and_its_call_is_sent_elsewhere(self) -> None:
+    def test_a_call_is_retried_elsewhere_after_its_proposer_dies(self) -> None:
         # After none, one, two, three acceptances; resent unchanged it is taken whatever came of it; another
         # content is refused where the first may have been settled, and only one of them ever holds.
         for accepted in ("", "b", "bc"):
@@ -108,7 +108,7 @@
                 self.assertEqual((item, item is V1 or not accepted), outcome, (accepted, item))
                 self.assertEqual([], table.faults)
 
-    def test_power_lost_between_two_syncs_of_one_call(self) -> None:
+    def test_a_promise_survives_power_loss_before_the_accept(self) -> None:
         # Promised and not accepted: the promise is kept, the call is not half there.
         table = laid(THREE, ("a", V1))
         begin(table, "a")
@@ -119,7 +119,7 @@
         submit(table, "b", V2)
         self.assertEqual((V2, True), calls(table, "b", "c"))
 
-    def test_all_start_in_any_order_with_one_disk_empty(self) -> None:
+    def test_restarts_in_any_order_with_one_empty_disk_lose_nothing(self) -> None:
         # An acknowledged call is known to any two that vote, whichever disk was wiped,
         # the proposer's as well.
         for wiped in THREE:
@@ -135,7 +135,7 @@
                 self.assertEqual({V1.key: V1}, read_from([table.acceptors[wiped], table.acceptors["b"]]))
                 self.assertEqual([], table.faults)
 
-    def test_one_that_was_wiped_keeps_to_what_it_had_promised(self) -> None:
+    def test_a_wiped_acceptor_honours_its_lost_promise(self) -> None:
         # Promised to 9, wiped, asked with 7: the promise that it can't remember is told by who made it too.
         table = laid(THREE, ("a", V1), ("b", V2))
         begin(table, "a", above=8)
@@ -145,7 +145,7 @@
         ask(table, "b", "c")
         self.assertEqual((None, 9), (table.proposers["b"].proposal_number, table.acceptors["c"].promised[0]))
 
-    def test_an_older_identity_that_comes_late_does_not_shut_out_the_newer(self) -> None:
+    def test_a_late_enrolment_of_an_older_disk_does_not_exclude_the_newer(self) -> None:
         # Guards against a machine that is wiped twice and is never heard again by one it asked meanwhile.
         table = laid(FIVE, ("a", V1))
         wipe(table, "x", "bcd")
@@ -158,7 +158,7 @@
         self.assertTrue(table.acceptors["x"].voting)
         self.assertEqual((V1, True), calls(table, "a", "xc"))
 
-    def test_a_new_identity_rises_above_all_that_were_noted(self) -> None:
+    def test_a_new_identity_is_above_all_recorded_ones(self) -> None:
         # Chance alone says nothing of which of two disks is the newer one.
         acceptors = {
             name: Acceptor(name, RecoveredState((0, name), FIVE, voting=True, members_confirmed=True))
@@ -173,7 +173,7 @@
         self.assertEqual(((2, "m"), True), (acceptor.disk, acceptor.voting))
         self.assertEqual({(2, "m")}, {each.disks["x"] for each in acceptors.values()})
 
-    def test_one_that_is_behind_is_brought_up(self) -> None:
+    def test_an_acceptor_that_is_behind_gets_the_missing_rows(self) -> None:
         # A proposer that does not know how far another is asks, and what it sends then is shown there.
         table = laid(THREE, ("a", V1), ("b", service("w")))
         calls(table, "a", "b")
@@ -191,7 +191,7 @@
 class Outcomes(TestCase):
     """What a second call comes to, at another machine, after a first."""
 
-    def test_outcomes(self) -> None:
+    def test_outcome_of_a_second_call_after_a_first(self) -> None:
         # 409 for another content of a version that holds, 400 for what may not stand, and nothing of either
         # comes into force; what is no news is acknowledged.
         drop = Item("service", "v", 1, None)
@@ -214,7 +214,7 @@
             for each in before:
                 submit(table, "a", each)
                 self.assertEqual((each, True), calls(table, "a", "b"), name)
-            done, acceptors, proposer = [], table.acceptors, table.proposers["c"]
+            completed, acceptors, proposer = [], table.acceptors, table.proposers["c"]
             proposer.highest_seen = 50
             waiting = [("c", *each) for each in proposer.submit(0.0, "call", [item], 1e9).sends]
             while waiting:
@@ -225,9 +225,9 @@
                     waiting.append((to, "c", acceptors[to].accept(message).reply))
                 else:
                     out = proposer.receive(0.0, sender, message)
-                    done += out.completed
+                    completed += out.completed
                     waiting += [("c", *each) for each in out.sends]
-            (_, outcome), held = done[0], acceptors["c"].learner.items.get(item.key)
+            (_, outcome), item_here = completed[0], acceptors["c"].learner.items.get(item.key)
             self.assertEqual(status, outcome.status if isinstance(outcome, Failure) else None, name)
             if status is not None:
-                self.assertNotEqual(item, held, name)
+                self.assertNotEqual(item, item_here, name)
--- a/tests/mesh/replication/test_quorum_contact.py
+++ b/tests/mesh/replication/test_quorum_contact.py
@@ -19,28 +19,28 @@
 THREE = MemberSet(0, ("m1", "m2", "m3"))
 
 
-def said(member, seen=NEW, votes=True, epoch=0):
+def report(member, seen=NEW, votes=True, epoch=0):
     return Report(member, votes, epoch, OLD, seen)
 
 
-class Contacts(testtools.TestCase):
+class Contact(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.quorum_contact = QuorumContact("m1", 100)
 
-    def asked(self, now, own=None):
-        return self.quorum_contact.request(now, own or said("m1", OLD))
+    def request(self, now, own=None):
+        return self.quorum_contact.request(now, own or report("m1", OLD))
 
-    def told(self, now, asking, told):
-        self.quorum_contact.receive(now, told.member, QuorumContact.reply(asking, told))
+    def reply(self, now, pending, reply):
+        self.quorum_contact.receive(now, reply.member, QuorumContact.reply(pending, reply))
 
-    def test_an_age_counts_from_the_asking_that_a_majority_answered(self):
+    def test_staleness_counts_from_the_request_that_a_majority_answered(self):
         self.assertIsNone(self.quorum_contact.staleness_s(0.0))
-        asking = self.asked(10.0)
-        self.assertIsNone(self.asked(10.0 + 0.9 * REQUEST_INTERVAL_S))
+        pending = self.request(10.0)
+        self.assertIsNone(self.request(10.0 + 0.9 * REQUEST_INTERVAL_S))
         self.quorum_contact.update(THREE, NEW)
         self.assertIsNone(self.quorum_contact.staleness_s(10.1))  # itself alone is no majority
-        self.told(10.2, asking, said("m2"))
+        self.reply(10.2, pending, report("m2"))
         self.quorum_contact.update(THREE, OLD)
         self.assertIsNone(self.quorum_contact.staleness_s(10.2))  # what the other has seen is not held yet
         self.quorum_contact.update(THREE, NEW)
@@ -48,102 +48,102 @@
         self.assertTrue(self.quorum_contact.is_current(10.0 + STALENESS_LIMIT_S))
         self.assertFalse(self.quorum_contact.is_current(10.1 + STALENESS_LIMIT_S))
         # A process that stood still finds its age grown, whatever it hears then that was sent before.
-        self.told(30.0, asking, said("m3"))
+        self.reply(30.0, pending, report("m3"))
         self.quorum_contact.update(THREE, NEW)
         self.assertAlmostEqual(20.0, self.quorum_contact.staleness_s(30.0))
         self.assertFalse(self.quorum_contact.is_current(30.0))
 
-    def test_only_a_majority_of_voting_members_under_the_latest_epoch_counts(self):
+    def test_only_voting_members_of_the_latest_epoch_count(self):
         # Guards: a wiped member, a standby, a stranger's name, an answer to an earlier life, an older epoch.
         for case in (
-            [said("m2", votes=False)],
-            [said("s1"), said("s2")],
-            [said("m2", epoch=1)],
-            [said("m3", OLD, False, 1), said("m2")],
+            [report("m2", votes=False)],
+            [report("s1"), report("s2")],
+            [report("m2", epoch=1)],
+            [report("m3", OLD, False, 1), report("m2")],
         ):
             self.quorum_contact = QuorumContact("m1", 100)
-            asking = self.asked(1.0)
+            pending = self.request(1.0)
             for each in case:
-                self.told(1.1, asking, each)
+                self.reply(1.1, pending, each)
             self.quorum_contact.update(THREE, NEWER)
             self.assertIsNone(self.quorum_contact.staleness_s(1.2), case)
         self.quorum_contact = QuorumContact("m1", 100)
-        self.told(1.0, self.asked(1.0), said("m3", OLD, False, 1))
-        asking = self.asked(2.0)
-        self.told(2.1, ContactRequest(7), said("m2"))
-        self.quorum_contact.receive(2.1, "m3", QuorumContact.reply(asking, said("m2")))
+        self.reply(1.0, self.request(1.0), report("m3", OLD, False, 1))
+        pending = self.request(2.0)
+        self.reply(2.1, ContactRequest(7), report("m2"))
+        self.quorum_contact.receive(2.1, "m3", QuorumContact.reply(pending, report("m2")))
         self.quorum_contact.update(MemberSet(1, THREE.of), NEWER)
         self.assertIsNone(self.quorum_contact.staleness_s(2.2))
-        self.told(2.2, asking, said("m2", epoch=1))
+        self.reply(2.2, pending, report("m2", epoch=1))
         self.quorum_contact.update(MemberSet(1, THREE.of), NEWER)
         self.assertAlmostEqual(0.3, self.quorum_contact.staleness_s(2.3))
 
-    def test_what_a_standby_has_seen_is_not_waited_for(self):
-        asking = self.asked(1.0)
-        self.told(1.1, asking, said("s1", NEWER))
-        self.told(1.1, asking, said("m2"))
+    def test_a_standbys_newer_number_does_not_delay_contact(self):
+        pending = self.request(1.0)
+        self.reply(1.1, pending, report("s1", NEWER))
+        self.reply(1.1, pending, report("m2"))
         self.quorum_contact.update(THREE, NEW)
         self.assertAlmostEqual(0.2, self.quorum_contact.staleness_s(1.2))
 
-    def test_one_that_does_not_vote_wants_a_majority_of_others(self):
-        for me, own in (("m1", said("m1", votes=False)), ("s1", said("s1"))):
+    def test_a_replica_without_a_vote_needs_a_majority_of_others(self):
+        for me, own in (("m1", report("m1", votes=False)), ("s1", report("s1"))):
             self.quorum_contact = QuorumContact(me)
-            asking = self.asked(1.0, own)
-            self.told(1.1, asking, said("m2"))
+            pending = self.request(1.0, own)
+            self.reply(1.1, pending, report("m2"))
             self.quorum_contact.update(THREE, NEW)
             self.assertIsNone(self.quorum_contact.staleness_s(1.1))
-            self.told(1.1, asking, said("m3"))
+            self.reply(1.1, pending, report("m3"))
             self.quorum_contact.update(THREE, NEW)
             self.assertIsNotNone(self.quorum_contact.staleness_s(1.1))
 
-    def test_all_orders_of_answers_and_of_what_is_held(self):
+    def test_all_orders_of_replies_and_commits(self):
         # Guards: in whatever order answers of two askings and rows come, an age never counts from an asking
         # whose answers tell of something that is not held.
         for order in itertools.permutations(range(5)):
             self.quorum_contact = QuorumContact("m1")
-            first, second = self.asked(1.0), self.asked(2.0)
+            first, second = self.request(1.0), self.request(2.0)
             committed_number = OLD
             steps = (
-                lambda first=first: self.told(2.1, first, said("m2", OLD)),
-                lambda first=first: self.told(2.1, first, said("m3", NEW)),
-                lambda second=second: self.told(2.1, second, said("m2", NEW)),
-                lambda second=second: self.told(2.1, second, said("m3", NEWER)),
+                lambda first=first: self.reply(2.1, first, report("m2", OLD)),
+                lambda first=first: self.reply(2.1, first, report("m3", NEW)),
+                lambda second=second: self.reply(2.1, second, report("m2", NEW)),
+                lambda second=second: self.reply(2.1, second, report("m3", NEWER)),
                 None,
             )
-            heard = set()
+            delivered = set()
             for each in order:
                 if steps[each] is None:
                     committed_number = NEW
                 else:
                     steps[each]()
-                heard.add(each)
+                delivered.add(each)
                 self.quorum_contact.update(THREE, committed_number)
                 if self.quorum_contact.as_of == 2.0:
-                    self.assertTrue({2, 4} <= heard, order)
+                    self.assertTrue({2, 4} <= delivered, order)
                 elif self.quorum_contact.as_of == 1.0:
-                    self.assertTrue(0 in heard or {1, 4} <= heard, order)
+                    self.assertTrue(0 in delivered or {1, 4} <= delivered, order)
 
-    def test_what_is_kept_is_bounded(self):
+    def test_pending_requests_and_reports_are_bounded(self):
         for number in range(3 * PENDING_REQUESTS_LIMIT):
-            self.asked(float(number))
+            self.request(float(number))
         self.assertEqual(PENDING_REQUESTS_LIMIT, len(self.quorum_contact.pending))
         for number in range(2 * REPORTS_LIMIT):
-            self.told(100.0, ContactRequest(0), said(f"s{number}"))
+            self.reply(100.0, ContactRequest(0), report(f"s{number}"))
         self.assertEqual(REPORTS_LIMIT, len(self.quorum_contact.reports))
         self.assertEqual(REPORTS_LIMIT + 1, len(self.quorum_contact.hears(100.5)))
         self.assertEqual(("m1",), self.quorum_contact.hears(102.0))
 
-    def test_a_report_comes_as_it_was_sent(self):
+    def test_a_report_survives_encoding(self):
         sent = Report("m1", True, 3, OLD, NEW, "z", True, ("m1", "m2"), (2, "d"))
         self.assertEqual(sent, Report.unpacked(sent.packed()))
         self.assertEqual(ContactReply(7, sent), decode(ContactReply(7, sent).packed()))
 
 
-class OlderDisks(testtools.TestCase):
-    def test_a_copy_from_before_is_found_out(self) -> None:
+class DiskHistories(testtools.TestCase):
+    def test_a_rolled_back_disk_is_recognised(self) -> None:
         # Guards: a file put back votes with what it has forgotten.
         one, other = (3, "p"), (9, "p")
-        for told, past in (
+        for state, expected in (
             (("b", (0, "d"), 6, other), False),  # a start more
             (("b", (0, "d"), 5, one), True),  # as often begun, less promised: a copy since its last start
             (("b", (0, "d"), 4, other), True),
@@ -151,23 +151,23 @@
             (("b", (0, "e"), 1, one), False),  # one that was never synced
             (("a", (0, "d"), 5, one), False),  # the same life, held up on its way
         ):
-            starts = DiskHistory()
-            self.assertFalse(starts.is_rolled_back("m", DiskState("a", (0, "d"), 5, one)))
-            self.assertFalse(starts.is_rolled_back("m", DiskState("a", (0, "d"), 5, other)))
-            self.assertEqual(past, starts.is_rolled_back("m", DiskState(*told)), told)
-        starts = DiskHistory()
-        starts.is_rolled_back("m", DiskState("a", (2, "d"), 5, one))
+            history = DiskHistory()
+            self.assertFalse(history.is_rolled_back("m", DiskState("a", (0, "d"), 5, one)))
+            self.assertFalse(history.is_rolled_back("m", DiskState("a", (0, "d"), 5, other)))
+            self.assertEqual(expected, history.is_rolled_back("m", DiskState(*state)), state)
+        history = DiskHistory()
+        history.is_rolled_back("m", DiskState("a", (2, "d"), 5, one))
         self.assertTrue(
-            starts.is_rolled_back("m", DiskState("b", (1, "x"), 9, other))
+            history.is_rolled_back("m", DiskState("b", (1, "x"), 9, other))
         )  # of before it was wiped
         self.assertTrue(
-            starts.is_rolled_back("m", DiskState("b", (1, "x"), 9, other))
+            history.is_rolled_back("m", DiskState("b", (1, "x"), 9, other))
         )  # and is so until it has enrolled
-        self.assertFalse(starts.is_rolled_back("m", DiskState("b", (3, "y"), 9, one)))
+        self.assertFalse(history.is_rolled_back("m", DiskState("b", (3, "y"), 9, one)))
 
-    def test_as_many_as_are_heard_are_kept(self) -> None:
-        starts = DiskHistory()
+    def test_remembered_disks_are_bounded(self) -> None:
+        history = DiskHistory()
         for n in range(REPORTS_LIMIT + 1):
-            starts.is_rolled_back(f"m{n}", DiskState("a", (0, "d"), 5, (1, "p")))
-        self.assertEqual(REPORTS_LIMIT, len(starts.last_state))
-        self.assertNotIn("m0", starts.last_state)
+            history.is_rolled_back(f"m{n}", DiskState("a", (0, "d"), 5, (1, "p")))
+        self.assertEqual(REPORTS_LIMIT, len(history.last_state))
+        self.assertNotIn("m0", history.last_state)
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -60,11 +60,17 @@
         for name in sorted(self.up):
             epoch = self.behind.get(name, self.members.epoch)
             committed_number = (epoch, "" if name in self.lags else "+")
-            heard = tuple(each for each in hears if name[0] + each[0] not in self.deaf)
-            told = Report(
-                name, name not in self.mute, epoch, committed_number, committed_number, name[1:], hears=heard
+            received = tuple(each for each in hears if name[0] + each[0] not in self.deaf)
+            report = Report(
+                name,
+                name not in self.mute,
+                epoch,
+                committed_number,
+                committed_number,
+                name[1:],
+                hears=received,
             )
-            self.reports[name] = ReceivedReport(replace(told, leaving=name in self.leaving), self.now)
+            self.reports[name] = ReceivedReport(replace(report, leaving=name in self.leaving), self.now)
         for name in sorted(self.up - set(stay.split())):
             if (items := self.cores[name].step(self.now, self.view(name))) is not None:
                 self.calls.append((name, items))
@@ -72,10 +78,10 @@
         for name, items in calls:
             self.asked += 1
             fate = self.fate.get(self.asked, "")
-            outcome = outcome_unknown("lost") if fate == "lost" else self.put(name, items)
+            outcome = outcome_unknown("lost") if fate == "lost" else self.commit(name, items)
             self.cores[name].on_outcome(self.now, outcome if fate != "told late" else outcome_unknown("late"))
 
-    def put(self, name: str, items: list[Item]):
+    def commit(self, name: str, items: list[Item]):
         lease, *change = items
         if lease.kind != LEASE or lease.version != (self.lease.version if self.lease else 0) + 1:
             return conflict("lease")
@@ -124,19 +130,19 @@
     return lambda field: field.down(name)
 
 
-class Growing(TestCase):
-    def test_from_three_seeds_to_the_size_by_one_at_a_time_spread_over_zones(self) -> None:
+class Growth(TestCase):
+    def test_the_set_grows_from_seeds_one_at_a_time_over_zones(self) -> None:
         field = Field("a1 b2 c3 d1 e1 f2 g3", machines=2).run(6)
         self.assertEqual(("a1 b2 c3 d1 f2", [4, 5]), (field.of(), [len(of) for _, _, of in field.log]))
         idle = field.asked
         self.assertEqual(idle, field.run(60).asked)  # nothing to do: nothing is written
 
-    def test_what_is_there_is_used_by_pairs(self) -> None:
+    def test_the_set_grows_only_to_odd_sizes(self) -> None:
         # Four bear no more than three, and want three for each write.
         self.assertEqual("a1 b2 c3", Field("a1 b2 c3 d1", machines=2).run(10).of())
         self.assertEqual("a1 b2 c3", Field("a1 b2 c3 d1 e2", machines=1).run(10).of())
 
-    def test_the_next_waits_until_the_last_votes_and_holds_all(self) -> None:
+    def test_the_next_change_waits_until_the_newcomer_has_caught_up(self) -> None:
         field = Field("a1 b2 c3 d1 e2", machines=2)
         grown = lambda f: f.behind.update({"d1": 0})  # noqa: E731 - it is settled, the newcomer not told yet
         field.run(r.UNFIT_LIMIT_S, {1: grown})
@@ -144,7 +150,7 @@
         field.behind.clear()
         self.assertEqual("a1 b2 c3 d1 e2", field.run(2).of())
 
-    def test_only_whoever_holds_all_and_votes_and_stays_is_named(self) -> None:
+    def test_only_a_fit_standby_that_has_caught_up_joins(self) -> None:
         for flaw in ("behind", "lags", "mute", "leaving", "away", "unheard"):
             field = Field("a1 b2 c3 d1", machines=1)
             field.behind = {"d1": -1} if flaw == "behind" else {}
@@ -155,7 +161,7 @@
             field.down("b2", *(["d1"] if flaw == "away" else []))
             self.assertEqual((flaw, "a1 b2 c3", 0), (flaw, field.run(20).of(), field.asked))
 
-    def test_a_standby_that_comes_and_goes_is_not_named_before_it_stays(self) -> None:
+    def test_a_flapping_standby_does_not_join(self) -> None:
         field = Field("a1 b2 c3 d1").down("d1").run(3).down("b2").run(4)
         for _ in range(9):
             field.up.add("d1")
@@ -168,7 +174,7 @@
         found = {case: r.target_size(*case[:2], {n: n for n in "abcdefg"[: case[2]]}) for case in SIZES}
         self.assertEqual(SIZES, found)
 
-    def test_seeds_of_one_zone_are_spread(self) -> None:
+    def test_seeds_of_one_zone_are_replaced_to_even_out_zones(self) -> None:
         field = Field("a1 b1 c1 d2 e3").run(12)
         self.assertEqual({"1", "2", "3"}, {name[1] for name in field.members.of})
         committed = len(field.log)
@@ -188,20 +194,20 @@
 }
 
 
-class Replacing(TestCase):
-    def test_gone_is_replaced_within_five_seconds_and_comes_back_as_standby(self) -> None:
+class Replacement(TestCase):
+    def test_a_gone_member_is_replaced_within_five_seconds_and_returns_as_standby(self) -> None:
         field = Field("a1 b2 c3 d1 e2")
         field.run(3).down("b2")
-        began = field.now
+        lost_at = field.now
         field.run(8)
         self.assertEqual("a1 c3 e2", field.of())
         self.assertTrue(
-            r.UNHEARD_LIMIT_S < field.log[0][0] - began and field.log[-1][0] - began < 5.0, field.log
+            r.UNHEARD_LIMIT_S < field.log[0][0] - lost_at and field.log[-1][0] - lost_at < 5.0, field.log
         )
         field.up.add("b2")
         self.assertEqual(("a1 c3 e2", 2), (field.run(60).of(), len(field.log)))
 
-    def test_a_restart_and_flapping_change_nothing(self) -> None:
+    def test_restarts_and_short_flapping_change_nothing(self) -> None:
         field = Field("a1 b2 c3 d1").run(3)
         for _ in range(20):
             field.down("b2").run(2.4)
@@ -209,7 +215,7 @@
             field.run(0.5)
         self.assertEqual((), tuple(field.log))
 
-    def test_flapping_beyond_that_is_bounded(self) -> None:
+    def test_changes_by_long_flapping_are_rate_limited(self) -> None:
         field = Field("a1 b2 c3 d1 e2")
         for _ in range(30):
             away = field.members.of[1]
@@ -221,59 +227,59 @@
                 sum(at <= other < at + r.CHANGES_WINDOW_S for other, _, _ in field.log) <= r.CHANGES_LIMIT
             )
 
-    def test_nothing_is_taken_out_where_none_stands_by(self) -> None:
+    def test_no_member_is_removed_without_a_standby(self) -> None:
         self.assertEqual("a1 b2 c3", Field("a1 b2 c3").down("b2").run(60).of())
         field = Field("a1 b2 c3 d1 e2", machines=2).run(5).down("b2", "d1")
         self.assertEqual(5, len(field.run(60).members.of))
 
-    def test_whom_a_majority_hears_is_not_gone(self) -> None:
+    def test_a_member_heard_by_a_majority_is_not_gone(self) -> None:
         field = Field("a1 b2 c3 d1").run(3)
         field.deaf = {"ab"}
         self.assertEqual("a1 b2 c3", field.run(20).of())
         field.deaf = {"ab", "cb"}
         self.assertEqual("a1 c3 d1", field.run(5).of())
 
-    def test_nothing_is_asked_that_no_majority_could_choose(self) -> None:
+    def test_no_change_is_submitted_without_a_majority(self) -> None:
         field = Field("a1 b2 c3 d1 e2").run(3)
         field.mute = {"c3"}
         field.down("b2").run(20)
         self.assertEqual(0, field.asked)
 
-    def test_a_second_loss_at_each_step(self) -> None:
+    def test_a_second_loss_at_each_step_is_survived(self) -> None:
         # The day that broke: two are lost, then two more once those are replaced.
         spares = "a1 b2 c3 d1 e2 f3 g1 h2 i3"
         for step, place in product(range(5), range(4)):
             field = Field(spares, machines=2).run(5).down("b2")
-            again = [name for name in field.members.of if name != "b2"][place]
-            field.run(10, {2 + step: killed(again)})
+            second = [name for name in field.members.of if name != "b2"][place]
+            field.run(10, {2 + step: killed(second)})
             left = set(field.members.of) & field.up
-            self.assertEqual((step, again, 5), (step, again, len(left)))
+            self.assertEqual((step, second, 5), (step, second, len(left)))
 
-    def test_a_lost_disk_that_does_not_enrol_is_replaced(self) -> None:
+    def test_a_member_that_does_not_enrol_is_replaced(self) -> None:
         field = Field("a1 b2 c3 d1").run(3)
         field.mute = {"b2"}
         self.assertEqual("a1 b2 c3", field.run(r.UNFIT_LIMIT_S - 0.5).of())
         self.assertEqual("a1 c3 d1", field.run(3).of())
 
 
-class Wiring(TestCase):
-    def test_what_a_node_hands_in_and_where_a_call_goes(self) -> None:
+class Acting(TestCase):
+    def test_one_act_submits_one_call_and_takes_its_outcome(self) -> None:
         # The reports of others as contact has them, this one's own as of now, the lease as settled.
-        learner, put = Learner(), []
-        held = Item(LEASE, "members", 4, {"holder": "c3", "life": "c3+1"})
-        learner.fold((7, "c"), [(held, (7, "c"))])
-        told = {n: Report(n, True, 2, (7, "c"), (7, "c"), n[1:], hears=("a1", "c3", "d1")) for n in HEARD}
-        told["d1"] = replace(told["d1"], zone="2")
-        heard = {name: ReceivedReport(told[name], 10.0) for name in ("c3", "d1")}
+        learner, submitted = Learner(), []
+        lease = Item(LEASE, "members", 4, {"holder": "c3", "life": "c3+1"})
+        learner.fold((7, "c"), [(lease, (7, "c"))])
+        reports = {n: Report(n, True, 2, (7, "c"), (7, "c"), n[1:], hears=("a1", "c3", "d1")) for n in HEARD}
+        reports["d1"] = replace(reports["d1"], zone="2")
+        received = {name: ReceivedReport(reports[name], 10.0) for name in ("c3", "d1")}
         members, core = MemberSet(2, ("a1", "b2", "c3")), r.Reconfiguration("a1", "a1+1", lambda: 0.0)
         for tick in range(60):
             now = 10.0 + tick * TICK_S
-            heard = {name: ReceivedReport(report, now) for name, (report, _) in heard.items()}
-            view = r.ClusterView.of(now, told["a1"], members, learner, heard, 0.0, 1, 0)
-            core.act(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
-        self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
-        self.assertEqual(1, len(put))  # one under way at the most
-        put[0][1](outcome_unknown("lost"))
+            received = {name: ReceivedReport(report, now) for name, (report, _) in received.items()}
+            view = r.ClusterView.of(now, reports["a1"], members, learner, received, 0.0, 1, 0)
+            core.act(lambda now=now: now, view, lambda items, tell: submitted.append((items, tell)))
+        self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], submitted[0][0])
+        self.assertEqual(1, len(submitted))  # one under way at the most
+        submitted[0][1](outcome_unknown("lost"))
         self.assertIsNone(core.submitted)
 
 
@@ -281,7 +287,7 @@
 
 
 class Leaving(TestCase):
-    def test_in_first_then_out_then_it_may_go(self) -> None:
+    def test_a_leaving_member_goes_after_its_replacement_joined(self) -> None:
         field = Field("a1 b2 c3 d1").run(3)
         field.leaving = {"a1"}
         going = field.cores["a1"]
@@ -290,7 +296,7 @@
         self.assertEqual([("a1", "b2", "c3", "d1"), ("b2", "c3", "d1")], [of for _, _, of in field.log])
         self.assertTrue(going.may_leave(field.now, field.view("a1")))
 
-    def test_without_a_standby_it_stays_a_member_and_goes_once_others_hold_all(self) -> None:
+    def test_without_a_standby_a_leaving_member_waits_for_the_others_to_catch_up(self) -> None:
         field = Field("a1 b2 c3").run(3)
         field.leaving, field.behind = {"a1"}, {"b2": -1}
         field.tick()
@@ -301,14 +307,14 @@
         self.assertTrue(going.may_leave(field.now, field.view("a1")))
         self.assertEqual("a1 b2 c3", field.down("a1").run(20).of())
 
-    def test_it_waits_no_longer_than_its_bound(self) -> None:
+    def test_a_leaving_member_waits_no_longer_than_the_timeout(self) -> None:
         field = Field("a1 b2 c3").run(1).down("b2", "c3").run(1.5)
         going = field.cores["a1"]
         self.assertFalse(going.may_leave(field.now, field.view("a1")))
         self.assertFalse(going.may_leave(field.now + r.LEAVE_TIMEOUT_S - 0.1, field.view("a1")))
         self.assertTrue(going.may_leave(field.now + r.LEAVE_TIMEOUT_S, field.view("a1")))
 
-    def test_leaver_or_newcomer_or_holder_killed_at_each_step(self) -> None:
+    def test_a_crash_at_each_step_of_a_leave_is_survived(self) -> None:
         for step, who in product(range(3), ("leaver", "newcomer", "holder")):
             field = Field("a1 b2 c3 d1 e1 f2").run(3)
             field.leaving = {"a1"}
@@ -322,7 +328,7 @@
             left = set(field.members.of) & field.up - {"a1"}
             self.assertEqual((step, who, 3, 3), (step, who, len(left), len(field.members.of)))
 
-    def test_all_stopped_in_turn_keep_their_number(self) -> None:
+    def test_a_rolling_restart_keeps_the_size(self) -> None:
         for keepers in ("a1 b2 c3", "a1 b2 c3 d1", "a1 b2 c3 d1 e2"):
             field = Field(keepers).run(3)
             for name in keepers.split():
@@ -336,13 +342,13 @@
 
 
 class Leases(TestCase):
-    def test_two_never_change_the_set_side_by_side(self) -> None:
+    def test_one_lease_holder_makes_all_changes(self) -> None:
         # All that could act see the same need at once: one takes the lease, the rest stay out.
         field = Field("a1 b2 c3 d1 e2", machines=2).run(6)
         self.assertEqual(1, len({by for _, by, _ in field.log}))
         self.assertEqual(3, field.asked)
 
-    def test_a_holder_that_was_frozen_is_kept_out_by_the_number(self) -> None:
+    def test_a_frozen_holder_is_fenced_off_by_the_lease_version(self) -> None:
         field = Field("a1 b2 c3 d1 e2", machines=2)
         while field.lease is None:
             field.tick()
@@ -352,10 +358,10 @@
         field.run(10, {0: killed(holder)})
         self.assertTrue(field.lease.content["holder"] != holder and field.log)
         before = field.of()
-        self.assertFalse(field.put(holder, late))  # it wakes: fenced at the receiver
+        self.assertFalse(field.commit(holder, late))  # it wakes: fenced at the receiver
         self.assertEqual(before, field.of())
 
-    def test_a_holder_stops_before_its_end_and_others_wait_beyond_it(self) -> None:
+    def test_holder_stops_before_and_others_start_after_the_lease_ends(self) -> None:
         field = Field("a1 b2 c3 d1 e2", machines=2)
         while field.lease is None:
             field.tick()
@@ -376,16 +382,16 @@
                 return
         self.fail("nobody took it over")
 
-    def test_all_fates_of_the_first_calls(self) -> None:
+    def test_lost_and_late_outcomes_of_the_first_calls_are_survived(self) -> None:
         for fates in product(("", "lost", "told late"), repeat=4):
             field = Field("a1 b2 c3 d1 e2", 2, fate=dict(enumerate(fates, 1)))
             self.assertEqual((fates, 5), (fates, field.until(5)))
 
-    def test_failures_are_backed_off_and_capped(self) -> None:
+    def test_failures_back_off_up_to_a_limit(self) -> None:
         field = Field("a1 b2 c3 d1 e2", 2, fate={n: "lost" for n in range(1, 1000)}).run(60)
         self.assertTrue(10 < field.asked < 3 * 60 / (r.BACKOFF_LIMIT_S / 2) + 30, field.asked)
 
-    def test_without_contact_or_after_a_sleep_nothing_is_decided(self) -> None:
+    def test_nothing_is_decided_without_contact_or_after_a_suspension(self) -> None:
         for age in (None, r.CONTACT_STALENESS_LIMIT_S + 0.1):
             field = Field("a1 b2 c3 d1").down("b2").run(2.8)
             core = field.cores["a1"]
@@ -398,7 +404,7 @@
         self.assertIsNone(field.cores["a1"].step(field.now, field.view("a1")))
         self.assertEqual({"b2": field.now}, field.cores["a1"].unheard_since)  # its two seconds begin anew
 
-    def test_all_orders_of_few_events(self) -> None:
+    def test_all_orders_of_few_events_end_with_the_target_size(self) -> None:
         # Losses, returns, a leaver and a frozen holder, in each order and at two distances. Left out: three
         # losses before the first is replaced, where two are to be borne.
         def freeze(f: Field) -> None:
--- a/tests/mesh/replication/test_snapshot_transfer.py
+++ b/tests/mesh/replication/test_snapshot_transfer.py
@@ -1,6 +1,4 @@
-"""Catching up piece by piece: all orders of few changes, pieces and tellers, and what can go wrong on the
-way.
-"""
+"""Reading a committed set in chunks: all orders of few changes, chunks and sources, and single faults."""
 
 from copy import deepcopy
 from dataclasses import replace
@@ -25,17 +23,17 @@
     SnapshotRows,
     decode,
 )
-from tests.mesh.replication.test_learner import at, dropped, kept_dropped, names, service, committed
+from tests.mesh.replication.test_learner import at, collect_dropped, committed, dropped, names, service
 
 CHANGES = [
     [service("a", 1), service("b", 1)],
     [service("a", 2)],
     [dropped("b", 3)],
     [service("c", 4), service("a", 4)],
-    [kept_dropped(1, 3, 3)],
+    [collect_dropped(1, 3, 3)],
     [service("b", 6)],
 ]
-HELD = [
+EXPECTED = [
     set(),
     {"a1", "b1"},
     {"a2", "b1"},
@@ -46,31 +44,31 @@
 ]
 
 
-def committed_number(number: int) -> Learner:
+def learner_after(number: int) -> Learner:
     return committed(*((place + 1, items) for place, items in enumerate(CHANGES[:number])))
 
 
-COPIES = [committed_number(number) for number in range(len(CHANGES) + 1)]
+LEARNERS = [learner_after(number) for number in range(len(CHANGES) + 1)]
 
 
-def through(message: Message) -> Message:
-    """As it comes over a link."""
+def over_the_wire(message: Message) -> Message:
+    """As the other side decodes it."""
     return decode(orjson.loads(orjson.dumps(message.packed())))
 
 
-def answered(
-    learner: Learner, message: SnapshotChunkRequest, age: float | None = 0.0, most: int = 1
+def reply_of(
+    learner: Learner, message: SnapshotChunkRequest, age: float | None = 0.0, limit_bytes: int = 1
 ) -> SnapshotReply:
-    """With `most` bytes a piece."""
-    small = Small(learner, most)
-    return through(SnapshotTransfer.reply(small, through(message), age, True))
+    """The reply of a source with chunks of that size."""
+    small = SmallChunks(learner, limit_bytes)
+    return over_the_wire(SnapshotTransfer.reply(small, over_the_wire(message), age, True))
 
 
-class Small:
-    """A copy that tells in small pieces."""
+class SmallChunks:
+    """A learner whose chunks are small."""
 
-    def __init__(self, learner: Learner, most: int) -> None:
-        self.learner, self.most = learner, most
+    def __init__(self, learner: Learner, limit_bytes: int) -> None:
+        self.learner, self.most = learner, limit_bytes
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.learner, name)
@@ -79,13 +77,13 @@
         return self.learner.chunk(after, self.most, bare)
 
 
-def cloned(taker: SnapshotTransfer) -> SnapshotTransfer:
+def cloned(transfer: SnapshotTransfer) -> SnapshotTransfer:
     """With containers of its own."""
     clone = object.__new__(SnapshotTransfer)
-    vars(clone).update({k: v.copy() if isinstance(v, dict) else v for k, v in vars(taker).items()})
+    vars(clone).update({k: v.copy() if isinstance(v, dict) else v for k, v in vars(transfer).items()})
     clone.learner = Learner()
     vars(clone.learner).update(
-        {k: v.copy() if isinstance(v, (dict, list)) else v for k, v in vars(taker.learner).items()}
+        {k: v.copy() if isinstance(v, (dict, list)) else v for k, v in vars(transfer.learner).items()}
     )
     return clone
 
@@ -95,281 +93,297 @@
     return replace(message, chunk=replace(message.chunk, **fields))
 
 
-def fold(learner: Learner, taken: ReceivedRows | None) -> list[Item]:
-    if taken is None:
+def fold(learner: Learner, received: ReceivedRows | None) -> list[Item]:
+    if received is None:
         return []
-    return (learner.replace if taken.complete_set else learner.fold)(
-        taken.committed_number, map(unpack_row, taken.rows)
+    return (learner.replace if received.complete_set else learner.fold)(
+        received.committed_number, map(unpack_row, received.rows)
     )
 
 
-class Orders(TestCase):
-    def explored(self, start: int, tellers: tuple[int, ...], under_way: int = 1) -> tuple[int, int]:
-        """Everything that can come about with that many changes known at the start to the taker and to the
-        tellers, pieces of one row, so many answers under way at the most: each whole is the set as it
-        was settled. Returns how many states and wholes there were."""
-        catch_up = SnapshotTransfer(committed_number(start), lambda: 0.0)
-        states, wholes = [(tellers, catch_up, ())], 0
-        seen = set()
+def state_key(sources: tuple[int, ...], transfer: SnapshotTransfer, in_flight: tuple) -> str:
+    """Of a state of the exploration; the numbers of requests do not matter, their offsets do."""
+    replies = [
+        (peer, number in transfer.requests and transfer.requests[number].after, body)
+        for peer, number, body in in_flight
+    ]
+    fields = ("from_nothing", "started", "cursor", "since", "newest_source")
+    own = [getattr(transfer, name) for name in fields]
+    return repr((sources, transfer.learner.committed_number, own, sorted(transfer.staged.items()), replies))
+
+
+def requested_from(
+    peer: int, sources: tuple[int, ...], transfer: SnapshotTransfer
+) -> tuple[SnapshotTransfer, list[tuple[int, int, bytes]]]:
+    """The transfer once it has sent a request to that peer, the only one that it can ask, and the reply:
+    peer, number and body. It is made at once, and delivered at any time."""
+    requester, replies = cloned(transfer), []
+    for other in range(len(sources)):
+        requester.on_peer_lost(other)
+    requester.waiting = None
+    learner = LEARNERS[sources[peer]]
+    requester.on_peer_committed(peer, learner.committed_number)
+    for _, message in requester.step(0.0):
+        reply = reply_of(learner, message)
+        requester.on_peer_committed(peer, NONE)
+        replies.append((peer, reply.number, orjson.dumps(replace(reply, number=0).packed())))
+    return requester, replies
+
+
+class AllOrders(TestCase):
+    def explore(self, start: int, sources: tuple[int, ...], in_flight_limit: int = 1) -> tuple[int, int]:
+        """Walks every order of events with `start` changes known to the learner and `sources` to each source,
+        chunks of one row, and a limited number of replies in flight. Checks that each completed transfer is
+        a set that was committed; returns how many states and completed transfers there were."""
+        states = [(sources, SnapshotTransfer(learner_after(start), lambda: 0.0), ())]
+        seen, completed = set(), 0
         while states:
-            held, taker, flying = states.pop()
-            # A pieced-together state; numbers of askings do not matter.
-            key = repr(
-                (
-                    held,
-                    taker.learner.committed_number,
-                    taker.from_nothing,
-                    taker.started,
-                    taker.cursor,
-                    taker.since,
-                    taker.newest_source,
-                    sorted(taker.staged.items()),
-                    [(p, n in taker.requests and taker.requests[n].after, told) for p, n, told in flying],
-                )
-            )
+            sources, transfer, in_flight = states.pop()
+            key = state_key(sources, transfer, in_flight)
             if key in seen:
                 continue
             seen.add(key)
-            for number, teller in enumerate(held):
-                if teller < len(CHANGES):
-                    later = (*held[:number], teller + 1, *held[number + 1 :])
-                    states.append((later, taker, flying))
-                # Only this one can be asked now; what is asked is answered at once, and comes when it will.
-                if len(flying) < under_way:
-                    asker = cloned(taker)
-                    for other in range(len(held)):
-                        asker.on_peer_lost(other)
-                    asker.waiting = None
-                    asker.on_peer_committed(number, COPIES[teller].committed_number)
-                    for _, message in asker.step(0.0):
-                        told = answered(COPIES[teller], message)
-                        asker.on_peer_committed(number, NONE)
-                        asking, body = told.number, replace(told, number=0)
-                        states.append((held, asker, (*flying, (number, asking, orjson.dumps(body.packed())))))
-            for number, (teller, asking, told) in enumerate(flying):
-                hearer = cloned(taker)
-                taken = hearer.receive(0.0, teller, replace(decode(orjson.loads(told)), number=asking))
-                if taken is not None:
-                    wholes += 1
-                    before = names(hearer.learner)
-                    fold(hearer.learner, taken)
-                    reached = taken.committed_number[0]
-                    self.assertEqual(HELD[reached], names(hearer.learner), (start, tellers, before, taken))
-                    self.assertEqual(COPIES[reached].items, hearer.learner.items)
-                    self.assertEqual(COPIES[reached].changed_at, hearer.learner.changed_at)
-                states.append((held, hearer, (*flying[:number], *flying[number + 1 :])))
-        return len(seen), wholes
-
-    def test_all_orders_of_few_changes_pieces_and_tellers(self) -> None:
+            for peer, changes in enumerate(sources):
+                if changes < len(CHANGES):
+                    advanced = (*sources[:peer], changes + 1, *sources[peer + 1 :])
+                    states.append((advanced, transfer, in_flight))
+                if len(in_flight) < in_flight_limit:
+                    requester, replies = requested_from(peer, sources, transfer)
+                    states += [(sources, requester, (*in_flight, reply)) for reply in replies]
+            for index, (peer, number, body) in enumerate(in_flight):
+                receiver = cloned(transfer)
+                message = replace(decode(orjson.loads(body)), number=number)
+                received = receiver.receive(0.0, peer, message)
+                if received is not None:
+                    completed += 1
+                    self.check_committed(receiver, received, (start, sources))
+                states.append((sources, receiver, (*in_flight[:index], *in_flight[index + 1 :])))
+        return len(seen), completed
+
+    def check_committed(self, receiver: SnapshotTransfer, received: ReceivedRows, case: tuple) -> None:
+        before = names(receiver.learner)
+        fold(receiver.learner, received)
+        reached = received.committed_number[0]
+        self.assertEqual(EXPECTED[reached], names(receiver.learner), (*case, before, received))
+        self.assertEqual(LEARNERS[reached].items, receiver.learner.items)
+        self.assertEqual(LEARNERS[reached].changed_at, receiver.learner.changed_at)
+
+    def test_all_orders_of_changes_chunks_and_sources_give_a_committed_set(self) -> None:
         # Guards the argument of docs/design/catching-up.md: with the last teller older than one before, with
         # an item dropped and collected between two pieces, or with a late answer, a whole would be none.
         cases = ((0, (1, 2), 1), (0, (4, 3), 1), (1, (2, 4), 1), (2, (3, 3), 1), (4, (5, 4), 2))
         for case in cases:
-            states, wholes = self.explored(*case)
+            states, completed = self.explore(*case)
             self.assertGreater(states, 100, case)
-            self.assertGreater(wholes, 20, case)
+            self.assertGreater(completed, 20, case)
 
 
-class Asked(TestCase):
+class Requests(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.now = 0.0
         self.draws = 0.0
 
-    def taker(self, held: int = 0, **settings: float) -> SnapshotTransfer:
-        return SnapshotTransfer(committed_number(held), lambda: self.draws, **settings)
+    def transfer(self, source_states: int = 0, **settings: float) -> SnapshotTransfer:
+        return SnapshotTransfer(learner_after(source_states), lambda: self.draws, **settings)
 
-    def asked(self, taker: SnapshotTransfer) -> tuple[str, SnapshotChunkRequest]:
-        ((peer, message),) = taker.step(self.now)
+    def request(self, transfer: SnapshotTransfer) -> tuple[str, SnapshotChunkRequest]:
+        ((peer, message),) = transfer.step(self.now)
         return peer, message
 
-    def test_one_change_is_one_round_trip_begun_at_once(self) -> None:
-        taker = self.taker(4)
-        self.assertEqual(([], None), (taker.step(self.now), taker.wake_at()))
-        taker.on_peer_committed("k", at(6))
-        peer, message = self.asked(taker)
+    def test_one_change_takes_one_round_trip(self) -> None:
+        transfer = self.transfer(4)
+        self.assertEqual(([], None), (transfer.step(self.now), transfer.wake_at()))
+        transfer.on_peer_committed("k", at(6))
+        peer, message = self.request(transfer)
         self.assertEqual(("k", {"t": "piece", "n": 1, "after": list(at(4))}), (peer, message.packed()))
-        told = answered(committed_number(6), message, 0.2, most=1000)
-        self.assertEqual([], taker.step(self.now + 0.1))
-        taken = taker.receive(self.now + 0.1, "k", told)
-        self.assertEqual((at(6), False, 2), (taken.committed_number, taken.complete_set, len(taken.rows)))
-        self.assertAlmostEqual(0.3, taken.staleness_s)  # counted from the asking
-        fold(taker.learner, taken)
-        self.assertEqual(([], None), (taker.step(self.now + 0.1), taker.wake_at()))
-
-    def test_what_does_not_come_is_asked_of_another_at_the_same_place(self) -> None:
+        reply = reply_of(learner_after(6), message, 0.2, limit_bytes=1000)
+        self.assertEqual([], transfer.step(self.now + 0.1))
+        received = transfer.receive(self.now + 0.1, "k", reply)
+        self.assertEqual(
+            (at(6), False, 2), (received.committed_number, received.complete_set, len(received.rows))
+        )
+        self.assertAlmostEqual(0.3, received.staleness_s)  # counted from the asking
+        fold(transfer.learner, received)
+        self.assertEqual(([], None), (transfer.step(self.now + 0.1), transfer.wake_at()))
+
+    def test_a_timed_out_chunk_is_requested_from_another_peer_at_the_same_offset(self) -> None:
         # The time allowed grows to its bound; a piece that comes late after all is taken, once.
-        taker = self.taker()
+        transfer = self.transfer()
         for peer in "kl":
-            taker.on_peer_committed(peer, at(4))
-        peer, message = self.asked(taker)
-        taker.receive(self.now, peer, answered(committed_number(4), message))
-        late = self.asked(taker)
-        allowed = []
+            transfer.on_peer_committed(peer, at(4))
+        peer, message = self.request(transfer)
+        transfer.receive(self.now, peer, reply_of(learner_after(4), message))
+        late = self.request(transfer)
+        timeouts = []
         for _ in range(7):
-            self.assertEqual([], taker.step(taker.wake_at() - 0.01))
-            allowed.append(taker.wake_at() - self.now)
-            self.now = taker.wake_at()
-            peer, message = self.asked(taker)
+            self.assertEqual([], transfer.step(transfer.wake_at() - 0.01))
+            timeouts.append(transfer.wake_at() - self.now)
+            self.now = transfer.wake_at()
+            peer, message = self.request(transfer)
             self.assertEqual(late[1].after, message.after)
-            self.assertNotEqual(late[0], peer) if len(allowed) == 1 else None
-        self.assertEqual([REQUEST_TIMEOUT_S, 2 * REQUEST_TIMEOUT_S, 4 * REQUEST_TIMEOUT_S], allowed[:3])
-        self.assertEqual(REQUEST_TIMEOUT_LIMIT_S, max(allowed))
-        self.assertIsNone(taker.receive(self.now, late[0], answered(committed_number(4), late[1])))
-        self.assertEqual(1, len(taker.staged))  # too late: it was asked more than four askings ago
-        told = answered(committed_number(4), message)
-        taker.receive(self.now, peer, told)
-        taker.receive(self.now, peer, told)
-        self.assertEqual(2, len(taker.staged))
-
-    def test_spoilt_pieces_are_not_taken(self) -> None:
-        taker = self.taker()
+            self.assertNotEqual(late[0], peer) if len(timeouts) == 1 else None
+        self.assertEqual([REQUEST_TIMEOUT_S, 2 * REQUEST_TIMEOUT_S, 4 * REQUEST_TIMEOUT_S], timeouts[:3])
+        self.assertEqual(REQUEST_TIMEOUT_LIMIT_S, max(timeouts))
+        self.assertIsNone(transfer.receive(self.now, late[0], reply_of(learner_after(4), late[1])))
+        self.assertEqual(1, len(transfer.staged))  # too late: it was asked more than four askings ago
+        reply = reply_of(learner_after(4), message)
+        transfer.receive(self.now, peer, reply)
+        transfer.receive(self.now, peer, reply)
+        self.assertEqual(2, len(transfer.staged))
+
+    def test_damaged_chunks_are_rejected(self) -> None:
+        transfer = self.transfer()
         for peer in "kl":
-            taker.on_peer_committed(peer, at(4))
-        first, message = self.asked(taker)
-        told = answered(committed_number(4), message)
-        told.chunk.rows[0][2] += 1
-        self.assertIsNone(taker.receive(self.now, first, told))
-        self.assertFalse(taker.staged)
-        second, message = self.asked(taker)
+            transfer.on_peer_committed(peer, at(4))
+        first, message = self.request(transfer)
+        reply = reply_of(learner_after(4), message)
+        reply.chunk.rows[0][2] += 1
+        self.assertIsNone(transfer.receive(self.now, first, reply))
+        self.assertFalse(transfer.staged)
+        second, message = self.request(transfer)
         self.assertNotEqual(first, second)
         self.assertIsNone(
-            taker.receive(self.now, second, changed(answered(committed_number(4), message), more=False))
+            transfer.receive(self.now, second, changed(reply_of(learner_after(4), message), more=False))
         )
         self.draws = 0.5  # and with both so, after a pause
         self.assertIsNone(
-            taker.receive(
-                self.now, second, changed(answered(committed_number(4), message), committed_number=at(9))
+            transfer.receive(
+                self.now, second, changed(reply_of(learner_after(4), message), committed_number=at(9))
             )
         )
-        self.assertEqual([], taker.step(self.now))
-        self.assertGreater(taker.wake_at(), self.now)
-
-    def test_where_a_teller_leaves_another_goes_on(self) -> None:
-        taker = self.taker()
-        taker.on_peer_committed("k", at(4))
-        peer, message = self.asked(taker)
-        taker.receive(self.now, peer, answered(committed_number(4), message))
-        self.asked(taker)
-        taker.on_peer_lost("k")
-        self.assertEqual([], taker.step(self.now))
-        taker.on_peer_committed("l", at(4))
+        self.assertEqual([], transfer.step(self.now))
+        self.assertGreater(transfer.wake_at(), self.now)
+
+    def test_another_peer_continues_where_a_lost_one_stopped(self) -> None:
+        transfer = self.transfer()
+        transfer.on_peer_committed("k", at(4))
+        peer, message = self.request(transfer)
+        transfer.receive(self.now, peer, reply_of(learner_after(4), message))
+        self.request(transfer)
+        transfer.on_peer_lost("k")
+        self.assertEqual([], transfer.step(self.now))
+        transfer.on_peer_committed("l", at(4))
         rows = 1
         while True:
-            peer, message = self.asked(taker)
-            told = answered(committed_number(4), message)
-            rows += len(told.chunk.rows)
-            if (taken := taker.receive(self.now, peer, told)) is not None:
+            peer, message = self.request(transfer)
+            reply = reply_of(learner_after(4), message)
+            rows += len(reply.chunk.rows)
+            if (received := transfer.receive(self.now, peer, reply)) is not None:
                 break
-        self.assertEqual((3, HELD[4]), (rows, names_of(taken)))
+        self.assertEqual((3, EXPECTED[4]), (rows, names_of(received)))
 
-    def test_a_teller_with_less_gives_what_it_has_but_no_whole(self) -> None:
+    def test_an_older_source_alone_does_not_complete_the_set(self) -> None:
         # `a4` hides `a2` at the first teller: with the second alone nothing would be said of `a` at all.
-        taker = self.taker()
-        taker.on_peer_committed("k", at(4))
-        peer, message = self.asked(taker)
-        taker.receive(self.now, peer, answered(committed_number(4), message))  # b3
-        taker.on_peer_lost("k")
-        taker.on_peer_committed("l", at(3))
-        while asked := taker.step(self.now):
-            self.assertIsNone(taker.receive(self.now, "l", answered(committed_number(3), asked[0][1])))
-        self.now = taker.wake_at()
-        peer, message = self.asked(taker)  # begun anew, after a while
+        transfer = self.transfer()
+        transfer.on_peer_committed("k", at(4))
+        peer, message = self.request(transfer)
+        transfer.receive(self.now, peer, reply_of(learner_after(4), message))  # b3
+        transfer.on_peer_lost("k")
+        transfer.on_peer_committed("l", at(3))
+        while request := transfer.step(self.now):
+            self.assertIsNone(transfer.receive(self.now, "l", reply_of(learner_after(3), request[0][1])))
+        self.now = transfer.wake_at()
+        peer, message = self.request(transfer)  # begun anew, after a while
         self.assertEqual((SOURCE_LOST_S, START), (self.now, message.after))
-        while (taken := taker.receive(self.now, "l", answered(committed_number(3), message))) is None:
-            peer, message = self.asked(taker)
-        self.assertEqual(HELD[3], names_of(taken))
+        while (received := transfer.receive(self.now, "l", reply_of(learner_after(3), message))) is None:
+            peer, message = self.request(transfer)
+        self.assertEqual(EXPECTED[3], names_of(received))
 
-    def test_a_teller_behind_the_place_moves_nothing_back(self) -> None:
-        taker = self.taker()
-        taker.on_peer_committed("k", at(4))
+    def test_a_source_behind_the_offset_does_not_move_it_back(self) -> None:
+        transfer = self.transfer()
+        transfer.on_peer_committed("k", at(4))
         for _ in range(2):
-            peer, message = self.asked(taker)
-            taker.receive(self.now, peer, answered(committed_number(4), message))
-        taker.on_peer_committed("k", at(5))
-        cursor = taker.cursor
-        peer, message = self.asked(taker)  # it had restarted with less when this came
-        self.assertIsNone(taker.receive(self.now, peer, answered(committed_number(2), message)))
-        self.assertEqual((cursor, at(2), []), (taker.cursor, taker.peer_committed["k"], taker.step(self.now)))
-
-    def test_a_teller_that_restarts_with_less(self) -> None:
+            peer, message = self.request(transfer)
+            transfer.receive(self.now, peer, reply_of(learner_after(4), message))
+        transfer.on_peer_committed("k", at(5))
+        cursor = transfer.cursor
+        peer, message = self.request(transfer)  # it had restarted with less when this came
+        self.assertIsNone(transfer.receive(self.now, peer, reply_of(learner_after(2), message)))
+        self.assertEqual(
+            (cursor, at(2), []), (transfer.cursor, transfer.peer_committed["k"], transfer.step(self.now))
+        )
+
+    def test_a_source_that_restarts_with_less_is_not_asked_again(self) -> None:
         # Told of as newer than it is now, or behind the place where this copy stands: asked once, not again.
-        taker = self.taker(3)
-        taker.on_peer_committed("k", at(4))
-        peer, message = self.asked(taker)
-        self.assertIsNone(taker.receive(self.now, peer, answered(committed_number(2), message)))
-        self.assertEqual(([], None), (taker.step(self.now), taker.wake_at()))
-        taker.on_peer_committed("k", at(5))
-        self.assertEqual(1, len(taker.step(self.now)))
-
-    def test_too_far_back_begins_anew_and_replaces(self) -> None:
+        transfer = self.transfer(3)
+        transfer.on_peer_committed("k", at(4))
+        peer, message = self.request(transfer)
+        self.assertIsNone(transfer.receive(self.now, peer, reply_of(learner_after(2), message)))
+        self.assertEqual(([], None), (transfer.step(self.now), transfer.wake_at()))
+        transfer.on_peer_committed("k", at(5))
+        self.assertEqual(1, len(transfer.step(self.now)))
+
+    def test_an_offset_before_the_horizon_starts_over_with_a_complete_set(self) -> None:
         # It never heard that `b` was dropped, and that is told no more.
-        taker = self.taker(2)
-        taker.on_peer_committed("k", at(5))
-        peer, message = self.asked(taker)
-        told = answered(committed_number(5), message)
-        self.assertIsInstance(told, SnapshotRestart)
-        self.assertIsNone(taker.receive(self.now, peer, told))
+        transfer = self.transfer(2)
+        transfer.on_peer_committed("k", at(5))
+        peer, message = self.request(transfer)
+        reply = reply_of(learner_after(5), message)
+        self.assertIsInstance(reply, SnapshotRestart)
+        self.assertIsNone(transfer.receive(self.now, peer, reply))
         late = message
         while True:
-            peer, message = self.asked(taker)
-            self.assertIsNone(taker.receive(self.now, peer, answered(committed_number(4), late)))
-            if (taken := taker.receive(self.now, peer, answered(committed_number(5), message))) is not None:
+            peer, message = self.request(transfer)
+            self.assertIsNone(transfer.receive(self.now, peer, reply_of(learner_after(4), late)))
+            if (
+                received := transfer.receive(self.now, peer, reply_of(learner_after(5), message))
+            ) is not None:
                 break
-        self.assertTrue(taken.complete_set)
-        new = fold(taker.learner, taken)
-        self.assertEqual((HELD[5], ("b", None)), (names(taker.learner), (new[0].name, new[0].content)))
+        self.assertTrue(received.complete_set)
+        new = fold(transfer.learner, received)
+        self.assertEqual((EXPECTED[5], ("b", None)), (names(transfer.learner), (new[0].name, new[0].content)))
 
-    def test_a_horizon_that_moves_past_a_whole_under_way(self) -> None:
+    def test_a_horizon_that_passes_staged_rows_starts_over(self) -> None:
         # `b1` was staged, then dropped, and the drop collected: with the old teller or a new one, anew.
-        taker = self.taker()
-        taker.on_peer_committed("k", at(2))
-        peer, message = self.asked(taker)
-        self.assertIsNone(taker.receive(self.now, peer, answered(committed_number(2), message)))
-        taker.on_peer_committed("k", at(5))
-        peer, message = self.asked(taker)
+        transfer = self.transfer()
+        transfer.on_peer_committed("k", at(2))
+        peer, message = self.request(transfer)
+        self.assertIsNone(transfer.receive(self.now, peer, reply_of(learner_after(2), message)))
+        transfer.on_peer_committed("k", at(5))
+        peer, message = self.request(transfer)
         self.assertEqual(at(2), message.since)
-        forged = through(SnapshotRows(message.number, committed_number(5).chunk(message.after), 0.0))
-        for told in (answered(committed_number(5), message), forged):
-            hearer = deepcopy(taker)
-            hearer.receive(self.now, peer, told)
-            self.assertEqual((True, {}), (hearer.from_nothing, hearer.staged))
-
-    def test_learnt_by_another_way(self) -> None:
-        taker = self.taker(1)
-        taker.on_peer_committed("k", at(4))
-        peer, message = self.asked(taker)
-        taker.receive(self.now, peer, answered(committed_number(4), message))
-        taker.learner.fold(
-            at(4), [unpack_row(each) for each in committed_number(4).chunk(end_of_proposal(at(1))).rows]
+        forged = over_the_wire(SnapshotRows(message.number, learner_after(5).chunk(message.after), 0.0))
+        for reply in (reply_of(learner_after(5), message), forged):
+            receiver = deepcopy(transfer)
+            receiver.receive(self.now, peer, reply)
+            self.assertEqual((True, {}), (receiver.from_nothing, receiver.staged))
+
+    def test_a_transfer_ends_once_the_rows_are_learnt_otherwise(self) -> None:
+        transfer = self.transfer(1)
+        transfer.on_peer_committed("k", at(4))
+        peer, message = self.request(transfer)
+        transfer.receive(self.now, peer, reply_of(learner_after(4), message))
+        transfer.learner.fold(
+            at(4), [unpack_row(each) for each in learner_after(4).chunk(end_of_proposal(at(1))).rows]
         )
-        self.assertEqual(([], {}, None), (taker.step(self.now), taker.staged, taker.wake_at()))
+        self.assertEqual(([], {}, None), (transfer.step(self.now), transfer.staged, transfer.wake_at()))
 
-    def test_bytes_per_second_are_bounded(self) -> None:
-        taker = self.taker(bytes_per_second=1000.0)
+    def test_bytes_per_second_are_limited(self) -> None:
+        transfer = self.transfer(bytes_per_second=1000.0)
         learner = committed((1, [service(f"s{number}", 1, "x" * 50) for number in range(100)]))
-        taker.on_peer_committed("k", at(1))
+        transfer.on_peer_committed("k", at(1))
         size = 0
         while True:
-            peer, message = self.asked(taker)
-            told = answered(learner, message, most=700)
-            size += len(orjson.dumps(told.chunk.rows))
-            if taker.receive(self.now + 0.001, peer, told) is not None:
+            peer, message = self.request(transfer)
+            reply = reply_of(learner, message, limit_bytes=700)
+            size += len(orjson.dumps(reply.chunk.rows))
+            if transfer.receive(self.now + 0.001, peer, reply) is not None:
                 break
-            self.assertEqual([], taker.step(self.now + 0.01))
-            self.now = taker.wake_at()
+            self.assertEqual([], transfer.step(self.now + 0.01))
+            self.now = transfer.wake_at()
         self.assertGreater(self.now, 0.9 * (size - 700) / 1000.0)
 
-    def test_peers_as_new_are_asked_evenly(self) -> None:
-        found = set()
+    def test_equally_new_peers_are_chosen_at_random(self) -> None:
+        chosen = set()
         for self.draws in (0.0, 0.4, 0.99):
-            taker = self.taker()
+            transfer = self.transfer()
             for peer in "klm":
-                taker.on_peer_committed(peer, at(4))
-            taker.on_peer_committed("old", at(3))
-            found.add(self.asked(taker)[0])
-        self.assertEqual(set("klm"), found)
+                transfer.on_peer_committed(peer, at(4))
+            transfer.on_peer_committed("old", at(3))
+            chosen.add(self.request(transfer)[0])
+        self.assertEqual(set("klm"), chosen)
 
 
-def names_of(taken: ReceivedRows) -> set[str]:
-    return {f"{each[1]}{each[2]}" for each in taken.rows}
+def names_of(received: ReceivedRows) -> set[str]:
+    return {f"{each[1]}{each[2]}" for each in received.rows}
--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -24,15 +24,15 @@
     return Item(SERVICE, name, 1, {"name": name})
 
 
-class Reopened(TestCase):
+class Reopening(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder)
 
     def disk(self) -> Storage:
-        self.later: queue.Queue = queue.Queue()
-        return Storage(self.folder, self.later.put)
+        self.loop_calls: queue.Queue = queue.Queue()
+        return Storage(self.folder, self.loop_calls.put)
 
     def opened(self, first: bool = False) -> RecoveredState:
         disk = self.disk()
@@ -42,34 +42,34 @@
 
     def written(self, *steps: list) -> None:
         """By the disk's own thread; returns once it has told that."""
-        disk, told = self.disk(), []
+        disk, reported = self.disk(), []
         saved = disk.open(MEMBERS, True)
         disk.start()
         for number, writes in enumerate([Acceptor("a", saved).initial_writes(), *steps]):
-            disk.write(writes, lambda number=number: told.append(number))
+            disk.write(writes, lambda number=number: reported.append(number))
         while disk.pending:
-            self.later.get(timeout=10)()
-        self.assertEqual(list(range(len(steps) + 1)), told)
+            self.loop_calls.get(timeout=10)()
+        self.assertEqual(list(range(len(steps) + 1)), reported)
         disk.db.close()
 
-    def test_what_was_told_as_written_is_there(self) -> None:
+    def test_reported_writes_are_read_back(self) -> None:
         # The whole of what an acceptor writes, read back as an acceptor would be: nothing forgotten by name.
         rows = [pack_row(service("v"), (2, "w"))]
         acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_confirmed=True))
         accept = acceptor.accept(Accept((3, "w"), 0, (2, "w"), (service("w"),), {}, NONE, rows))
         enrol = acceptor.enroll("b", Enroll((1, "b")))
         self.written(accept.writes, enrol.writes)
-        again = Acceptor("a", self.opened())
+        reopened = Acceptor("a", self.opened())
         for name in ("promised", "accepted", "delta", "disks", "voting", "members_confirmed", "seeds"):
-            self.assertEqual(getattr(acceptor, name), getattr(again, name), name)
-        self.assertEqual(vars(acceptor.learner), vars(again.learner))
+            self.assertEqual(getattr(acceptor, name), getattr(reopened, name), name)
+        self.assertEqual(vars(acceptor.learner), vars(reopened.learner))
 
-    def test_what_was_collected_is_gone(self) -> None:
+    def test_deleted_rows_are_gone(self) -> None:
         rows = [pack_row(service(f"s{number}"), (2, "w")) for number in range(600)]
         self.written([PutRows(rows)], [DeleteRows([(SERVICE, "s7"), (SERVICE, "none")])])
         self.assertEqual({each[1] for each in rows} - {"s7"}, {each[1] for each in self.opened().rows})
 
-    def test_a_disk_holds_the_rows_that_its_copy_holds(self) -> None:
+    def test_stored_rows_match_the_learner_after_each_change(self) -> None:
         # Whatever is collected, replaced, or refused anew once it was collected, in the same write or later.
         acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_confirmed=True))
         committed = [
@@ -78,16 +78,16 @@
             [Item(REFUSED, "q", 1, [409, "x", 4.0])],
             [Item(KEPT, "dropped", 1, {"floor": 2, "at": [1, "w"]})],
         ]
-        steps, held = [], [{}]
+        steps, remembered = [], [{}]
         for number, items in enumerate(committed, 1):
             steps.append(
                 acceptor.learn((number, "w"), [CommittedItem(item, (number, "w")) for item in items])[0]
             )
-            held.append(dict(acceptor.learner.items))
-        self.assertEqual(["v", "refused", "r", "dropped"], [name for _, name in held[-1]])
+            remembered.append(dict(acceptor.learner.items))
+        self.assertEqual(["v", "refused", "r", "dropped"], [name for _, name in remembered[-1]])
         steps.append(acceptor.learn((7, "w"), [CommittedItem(service("y"), (6, "w"))], complete_set=True)[0])
-        held.append(dict(acceptor.learner.items))
-        for number, items in enumerate(held):
+        remembered.append(dict(acceptor.learner.items))
+        for number, items in enumerate(remembered):
             for name in os.listdir(self.folder):
                 os.remove(os.path.join(self.folder, name))
             self.written(*steps[:number])
@@ -95,20 +95,22 @@
                 items, {item.key: item for item, _ in map(unpack_row, self.opened().rows)}, number
             )
 
-    def test_starts_are_counted_before_anything_else_is_done(self) -> None:
+    def test_starts_are_counted_and_reveal_a_rolled_back_file(self) -> None:
         # A file put back from before has a start too few, or has forgotten what it told others that it
         # promised; one of an older release begins at the first.
         self.written([SetMeta("promised", (3, "w"))])  # its first start
-        path, kept = os.path.join(self.folder, FILE), os.path.join(self.folder, "copy")
-        shutil.copy(path, kept)
+        path, copy = os.path.join(self.folder, FILE), os.path.join(self.folder, "copy")
+        shutil.copy(path, copy)
         saved = [self.opened() for _ in range(2)]
         self.assertEqual([2, 3], [each.start_count for each in saved])
-        held = [(saved[-1].start_count, saved[-1].promised)]
-        self.assertFalse(is_older(4, (3, "w"), held))
+        remembered = [(saved[-1].start_count, saved[-1].promised)]
+        self.assertFalse(is_older(4, (3, "w"), remembered))
         self.assertFalse(is_older(1, (0, ""), []))
-        shutil.move(kept, path)
+        shutil.move(copy, path)
         before = self.opened()
-        self.assertEqual((2, True), (before.start_count, is_older(before.start_count, before.promised, held)))
+        self.assertEqual(
+            (2, True), (before.start_count, is_older(before.start_count, before.promised, remembered))
+        )
         self.assertTrue(is_older(9, (3, "w"), [(2, (3, "x"))]))
         db = sqlite3.connect(path)
         db.execute("DELETE FROM meta WHERE name = 'boots'")
@@ -116,7 +118,7 @@
         db.close()
         self.assertEqual(1, self.opened().start_count)
 
-    def test_a_damaged_file_counts_as_wiped(self) -> None:
+    def test_a_corrupted_file_counts_as_wiped(self) -> None:
         # Neither half of a promise nor another program's file is voted with.
         def cut_off(path: str) -> None:
             os.truncate(path, 100)
@@ -131,19 +133,19 @@
             db.commit()
             db.close()
 
-        for harm in (cut_off, overwritten, changed):
+        for damage in (cut_off, overwritten, changed):
             for name in os.listdir(self.folder):
                 os.remove(os.path.join(self.folder, name))
             self.written([SetMeta("promised", (3, "w"))])
             before = self.opened()
-            harm(os.path.join(self.folder, FILE))
+            damage(os.path.join(self.folder, FILE))
             after = self.opened(first=True)
             self.assertEqual(
-                (False, False, (0, "")), (after.voting, after.members_confirmed, after.promised), harm
+                (False, False, (0, "")), (after.voting, after.members_confirmed, after.promised), damage
             )
             self.assertNotEqual(before.disk, after.disk)
 
-    def test_a_disk_that_refuses_to_be_read_is_not_a_damaged_one(self) -> None:
+    def test_a_file_that_can_not_be_read_now_is_not_wiped(self) -> None:
         # Guards against wiping a sound file because another process holds it, or the disk is full or away.
         self.written([SetMeta("promised", (3, "w"))])
         before = self.opened()
@@ -159,7 +161,7 @@
             self.assertEqual(2, slept.call_count)
             disk.db.close()
 
-    def test_a_start_that_can_not_be_counted_is_no_start(self) -> None:
+    def test_open_retries_until_the_start_is_counted(self) -> None:
         # Also on a new disk: it waits, and does not stand in its own way with the file that it holds open.
         for first in (True, False):
             disk = self.disk()
@@ -175,18 +177,18 @@
             if first:
                 self.written()
 
-    def test_nothing_is_told_while_the_disk_refuses(self) -> None:
+    def test_nothing_is_reported_while_the_disk_refuses_writes(self) -> None:
         # The answer waits for the write that it stands on, and for all that was handed over before.
-        disk, told = self.disk(), []
+        disk, reported = self.disk(), []
         disk.open(MEMBERS, True)
         refusals = iter([False, False, True])
         with mock.patch.object(disk, "_commit", lambda writes: next(refusals)), mock.patch("time.sleep"):
-            disk.write([SetMeta("promised", (1, "w"))], lambda: told.append("promise"))
-            disk.write([], lambda: told.append("answer"))
-            self.assertEqual([], told)
+            disk.write([SetMeta("promised", (1, "w"))], lambda: reported.append("promise"))
+            disk.write([], lambda: reported.append("answer"))
+            self.assertEqual([], reported)
             disk.start()
             while disk.pending:
-                self.later.get(timeout=10)()
-        self.assertEqual(["promise", "answer"], told)
+                self.loop_calls.get(timeout=10)()
+        self.assertEqual(["promise", "answer"], reported)
         self.assertIsNone(next(refusals, None))
         disk.db.close()
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -163,7 +163,7 @@
                 found = read_voter(self.copy_of(voter), name)
                 self.assertEqual(self.expected[voter]["whole"], found)
 
-    def test_rows_mean_what_they_meant(self) -> None:
+    def test_rows_keep_their_meaning(self) -> None:
         for voter, name in VOTERS.items():
             with self.subTest(voter):
                 self.assertEqual(self.expected[voter]["meaning"], meaning(self.copy_of(voter), name))
@@ -175,7 +175,7 @@
                 first, second = read_voter(folder, name), read_voter(folder, name)
                 self.assertEqual({**first, "starts": first["starts"] + 1}, second)
 
-    def test_a_log_cut_off_anywhere_reads_as_the_last_whole_transaction_before(self) -> None:
+    def test_a_truncated_log_reads_as_the_last_complete_transaction(self) -> None:
         for voter in VOTERS:
             for cut in self.expected[voter]["cuts"]:
                 with self.subTest(voter=voter, **cut):
@@ -183,7 +183,7 @@
                     log.write_bytes(log.read_bytes()[: cut["at"]])
                     self.assert_reads(voter, cut["state"], f"{voter} {cut}")
 
-    def test_a_log_with_one_byte_changed_reads_as_the_last_sound_transaction_before(self) -> None:
+    def test_a_log_with_one_byte_changed_reads_as_the_last_sound_transaction(self) -> None:
         for voter in VOTERS:
             for change in self.expected[voter]["changed_bytes"]:
                 with self.subTest(voter=voter, **change):
