--- a/foxspread/mesh/replication/messages.py
+++ b/foxspread/mesh/replication/messages.py
@@ -93,10 +93,13 @@
 
     Raises `MalformedMessageError` where a field is missing or of another shape.
     """
-    decoder = DECODERS.get(fields[KIND])
+    if KIND not in fields:
+        raise MalformedMessageError("no kind")
+    kind = fields[KIND]
+    decoder = DECODERS.get(kind) if isinstance(kind, str) else None
     if decoder is None:
         return None
     try:
         return decoder(fields)
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-        raise MalformedMessageError(f"{fields[KIND]}: {error!r}") from error
+        raise MalformedMessageError(f"{kind}: {error!r}") from error
