--- a/tests/mesh/transport/test_recorded_messages.py
+++ b/tests/mesh/transport/test_recorded_messages.py
@@ -10,6 +10,7 @@
 import unittest
 from collections import Counter
 
+from foxspread.mesh.replication.messages import decode
 from foxspread.mesh.transport.netstrings import Decoder, encode
 
 RECORDED = pathlib.Path(__file__).parents[2] / "data" / "wire" / "mesh-messages.jsonl"
@@ -22,7 +23,8 @@
 def reencode(data: bytes) -> bytes:
     """Decodes one message and encodes it again, through the typed codec of its kind where there is one."""
     (fields,) = Decoder().feed(data)
-    return encode(fields)
+    message = decode(fields)
+    return encode(fields if message is None else message.packed())
 
 
 def recorded() -> list[tuple[str, bytes]]:
