--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -14,30 +14,30 @@
 from foxspread.mesh.simulation.explore import Case, Table, explore, read_from
 from tests.mesh.replication.scripted_replicas import (
     FIVE,
-    ORDERS,
-    SHOWN_BY,
+    SCRIPTS,
+    SCRIPTS_BY_MUTANT,
     THREE,
-    answer,
-    ask,
-    begin,
-    enrol,
-    laid,
-    put,
+    deliver_reply,
+    send_prepare,
+    start_attempt,
+    deliver_enrolment,
+    new_table,
+    send_accept,
     route,
     service,
-    wipe,
+    wipe_and_enrol,
 )
 
 V1, V2 = service(tag=1), service(tag=2)
 
 
-def calls(table: Table, name: str, others: str, above: int | None = None) -> tuple[Item, bool] | None:
+def propose(table: Table, name: str, others: str, above: int | None = None) -> tuple[Item, bool] | None:
     """Its next call, with all answers of `others`; its outcome where there is one."""
     before = len(table.told)
-    begin(table, name, above)
-    ask(table, name, others)
+    start_attempt(table, name, above)
+    send_prepare(table, name, others)
     if table.proposers[name].proposed_delta is not None:
-        put(table, name, others)
+        send_accept(table, name, others)
     return table.told[-1] if len(table.told) > before else None
 
 
@@ -51,12 +51,12 @@
 class MessageOrders(TestCase):
     def test_each_mutant_fails_in_the_script_that_shows_it(self) -> None:
         # The cores stand each; every broken one falls by its own: else an order tests nothing.
-        for name, order in ORDERS.items():
-            self.assertEqual([], order(Cores()).faults, name)
-        for broken, names in SHOWN_BY.items():
-            for begins in names:
-                order = next(order for name, order in ORDERS.items() if name.startswith(begins))
-                self.assertNotEqual([], order(CORES[broken]).faults, (broken, begins))
+        for name, script in SCRIPTS.items():
+            self.assertEqual([], script(Cores()).faults, name)
+        for mutant, names in SCRIPTS_BY_MUTANT.items():
+            for prefix in names:
+                script = next(script for name, script in SCRIPTS.items() if name.startswith(prefix))
+                self.assertNotEqual([], script(CORES[mutant]).faults, (mutant, prefix))
 
     def test_all_message_orders_of_small_cases_are_safe(self) -> None:
         # Nothing is out of reach of a schedule: every order, of messages, crashes, wipes; states are counted
@@ -82,14 +82,14 @@
         # Whoever comes first with whichever machine, one content is taken and two are refused.
         items = {name: service(tag=n) for n, name in enumerate(THREE)}
         for first, second, third in permutations(THREE):
-            table = laid(THREE, *items.items())
-            begin(table, first)
-            ask(table, first, second)  # its own disk alone accepts
-            begin(table, second, above=1)
-            ask(table, second, third)
-            begin(table, third, above=2)
+            table = new_table(THREE, *items.items())
+            start_attempt(table, first)
+            send_prepare(table, first, second)  # its own disk alone accepts
+            start_attempt(table, second, above=1)
+            send_prepare(table, second, third)
+            start_attempt(table, third, above=2)
             for above, name in enumerate((first, third, second), start=9):
-                calls(table, name, second if name != second else third, above)
+                propose(table, name, second if name != second else third, above)
             self.assertEqual([], table.faults)
             self.assertEqual([False, False, True], sorted(taken for _, taken in table.told))
 
@@ -98,57 +98,57 @@
         # content is refused where the first may have been settled, and only one of them ever holds.
         for accepted in ("", "b", "bc"):
             for item in (V1, V2):
-                table = laid(THREE, ("a", V1))
-                begin(table, "a")
-                ask(table, "a", "bc")
-                put(table, "a", accepted, back=False)
+                table = new_table(THREE, ("a", V1))
+                start_attempt(table, "a")
+                send_prepare(table, "a", "bc")
+                send_accept(table, "a", accepted, with_replies=False)
                 table.do(("crash", "a"))
                 submit(table, "c", item)
-                outcome = calls(table, "c", "b")
+                outcome = propose(table, "c", "b")
                 self.assertEqual((item, item is V1 or not accepted), outcome, (accepted, item))
                 self.assertEqual([], table.faults)
 
     def test_a_promise_survives_power_loss_before_the_accept(self) -> None:
         # Promised and not accepted: the promise is kept, the call is not half there.
-        table = laid(THREE, ("a", V1))
-        begin(table, "a")
-        ask(table, "a", "bc")
+        table = new_table(THREE, ("a", V1))
+        start_attempt(table, "a")
+        send_prepare(table, "a", "bc")
         for name in THREE:
             table.do(("crash", name))
         self.assertEqual([(1, "a.0")] * 3, [table.acceptors[name].promised for name in THREE])
         submit(table, "b", V2)
-        self.assertEqual((V2, True), calls(table, "b", "c"))
+        self.assertEqual((V2, True), propose(table, "b", "c"))
 
     def test_restarts_in_any_order_with_one_empty_disk_lose_nothing(self) -> None:
         # An acknowledged call is known to any two that vote, whichever disk was wiped,
         # the proposer's as well.
         for wiped in THREE:
             for others in permutations(name for name in THREE if name != wiped):
-                table = laid(THREE, ("a", V1))
-                self.assertEqual((V1, True), calls(table, "a", "c"))
+                table = new_table(THREE, ("a", V1))
+                self.assertEqual((V1, True), propose(table, "a", "c"))
                 for name in others:
                     table.do(("crash", name))
                 table.do(("wipe", wiped))
-                enrol(table, wiped, others[0])
+                deliver_enrolment(table, wiped, others[0])
                 self.assertFalse(table.acceptors[wiped].serves)
-                enrol(table, wiped, others[1])
+                deliver_enrolment(table, wiped, others[1])
                 self.assertEqual({V1.key: V1}, read_from([table.acceptors[wiped], table.acceptors["b"]]))
                 self.assertEqual([], table.faults)
 
     def test_a_wiped_acceptor_honours_its_lost_promise(self) -> None:
         # Promised to 9, wiped, asked with 7: the promise that it can't remember is told by who made it too.
-        table = laid(THREE, ("a", V1), ("b", V2))
-        begin(table, "a", above=8)
-        ask(table, "a", "c")
-        wipe(table, "c", "ab")
-        begin(table, "b", above=6)
-        ask(table, "b", "c")
+        table = new_table(THREE, ("a", V1), ("b", V2))
+        start_attempt(table, "a", above=8)
+        send_prepare(table, "a", "c")
+        wipe_and_enrol(table, "c", "ab")
+        start_attempt(table, "b", above=6)
+        send_prepare(table, "b", "c")
         self.assertEqual((None, 9), (table.proposers["b"].proposal_number, table.acceptors["c"].promised[0]))
 
     def test_a_late_enrolment_of_an_older_disk_does_not_exclude_the_newer(self) -> None:
         # Guards against a machine that is wiped twice and is never heard again by one it asked meanwhile.
-        table = laid(FIVE, ("a", V1))
-        wipe(table, "x", "bcd")
+        table = new_table(FIVE, ("a", V1))
+        wipe_and_enrol(table, "x", "bcd")
         table.do(("wipe", "x"))
         for other in "abd":
             table.passed("x", other, "enrol", newest=True)
@@ -156,7 +156,7 @@
         for other in "abd":
             table.passed(other, "x", "enrolled", newest=other != "a")
         self.assertTrue(table.acceptors["x"].voting)
-        self.assertEqual((V1, True), calls(table, "a", "xc"))
+        self.assertEqual((V1, True), propose(table, "a", "xc"))
 
     def test_a_new_identity_is_above_all_recorded_ones(self) -> None:
         # Chance alone says nothing of which of two disks is the newer one.
@@ -175,15 +175,15 @@
 
     def test_an_acceptor_that_is_behind_gets_the_missing_rows(self) -> None:
         # A proposer that does not know how far another is asks, and what it sends then is shown there.
-        table = laid(THREE, ("a", V1), ("b", service("w")))
-        calls(table, "a", "b")
-        calls(table, "b", "a")
+        table = new_table(THREE, ("a", V1), ("b", service("w")))
+        propose(table, "a", "b")
+        propose(table, "b", "a")
         submit(table, "b", service("u"))
-        begin(table, "b")
-        ask(table, "b", "a")
+        start_attempt(table, "b")
+        send_prepare(table, "b", "a")
         table.passed("b", "c", "accept", newest=True)
-        answer(table, "c", "b")  # behind
-        put(table, "b", "c")
+        deliver_reply(table, "c", "b")  # behind
+        send_accept(table, "b", "c")
         self.assertEqual(table.acceptors["b"].learner.items, read_from([table.acceptors["c"]]))
         self.assertEqual(3, len(table.acceptors["c"].learner.items) + len(table.acceptors["c"].delta))
 
@@ -210,10 +210,10 @@
             ("a route to nothing", [], here, 400),
         )
         for name, before, item, status in rows:
-            table = laid(THREE)
+            table = new_table(THREE)
             for each in before:
                 submit(table, "a", each)
-                self.assertEqual((each, True), calls(table, "a", "b"), name)
+                self.assertEqual((each, True), propose(table, "a", "b"), name)
             completed, acceptors, proposer = [], table.acceptors, table.proposers["c"]
             proposer.highest_seen = 50
             waiting = [("c", *each) for each in proposer.submit(0.0, "call", [item], 1e9).sends]
--- a/tests/mesh/simulation/test_fleet.py
+++ b/tests/mesh/simulation/test_fleet.py
@@ -10,7 +10,7 @@
 from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.schedule import FAULTS, Event, Plan, days, drawn
 from foxspread.mesh.simulation.campaign import several, traced
-from tests.mesh.replication.scripted_replicas import SHOWN_BY, route, service
+from tests.mesh.replication.scripted_replicas import SCRIPTS_BY_MUTANT, route, service
 
 CAUGHT_BY = {  # what is broken, by which rule and in which day and seed it is caught
     "any ballot is accepted": ("consistent", "short", 1),
@@ -138,7 +138,7 @@
                 played = [play(Plan(seconds=seconds), seed, cores, told(first, *rows)) for seed in SEEDS]
                 found = sum(each.rule == rule for one in played for each in one.breaks)
                 self.assertEqual(least, min(1, found), name)
-        self.assertEqual(set(CORES), {*scripts, *CAUGHT_BY, *SHOWN_BY, *SHOWN_IN_TEST_MEMBERS})
+        self.assertEqual(set(CORES), {*scripts, *CAUGHT_BY, *SCRIPTS_BY_MUTANT, *SHOWN_IN_TEST_MEMBERS})
 
     def test_a_failure_is_told_with_the_fewest_events(self) -> None:
         name = "reads from its own copy"
--- a/tests/mesh/simulation/test_members.py
+++ b/tests/mesh/simulation/test_members.py
@@ -9,7 +9,15 @@
 from foxspread.mesh.simulation.mutants import CORES, InPieces
 from foxspread.mesh.simulation.explore import Case, Table, explore
 from foxspread.mesh.simulation.machines import Cores
-from tests.mesh.replication.scripted_replicas import THREE, ask, begin, put, route, service, wipe
+from tests.mesh.replication.scripted_replicas import (
+    THREE,
+    send_prepare,
+    start_attempt,
+    send_accept,
+    route,
+    service,
+    wipe_and_enrol,
+)
 
 FOUR = ("a", "b", "c", "d")
 ROUTE, SERVICE = route("r", "/p/", "v"), service("v")
@@ -23,15 +31,15 @@
     """The known example against changes of one machine that the new set alone counts: a takes d out and
     reaches nobody; d takes a out with c; a tries again with b."""
     table = Table.laid(Case(FOUR, (("a", to("abc")), ("d", to("bcd"))), starts=3), cores)
-    begin(table, "a")
-    ask(table, "a", "bc")
-    begin(table, "d", above=1)
-    ask(table, "d", "bc")
-    put(table, "d", "c")
-    begin(table, "a", above=2)
-    ask(table, "a", "b")
+    start_attempt(table, "a")
+    send_prepare(table, "a", "bc")
+    start_attempt(table, "d", above=1)
+    send_prepare(table, "d", "bc")
+    send_accept(table, "d", "c")
+    start_attempt(table, "a", above=2)
+    send_prepare(table, "a", "b")
     if any(each[:2] == ("a", "b") for each in table.flying):
-        put(table, "a", "b")
+        send_accept(table, "a", "b")
     return table
 
 
@@ -63,12 +71,12 @@
             (Cores(), []),
         ):
             table = Table.laid(Case(FOUR, (("a", to("abc")), ("b", second)), starts=3), cores)
-            begin(table, "a")
-            ask(table, "a", "bc")
-            put(table, "a", "c", back=False)
-            begin(table, "b", above=1)
-            ask(table, "b", "ca")
-            put(table, "b", "ca")
+            start_attempt(table, "a")
+            send_prepare(table, "a", "bc")
+            send_accept(table, "a", "c", with_replies=False)
+            start_attempt(table, "b", above=1)
+            send_prepare(table, "b", "ca")
+            send_accept(table, "b", "ca")
             self.assertEqual(faults, table.faults[:1])
 
     def test_one_that_enrolled_votes_once_it_holds_all(self) -> None:
@@ -77,14 +85,14 @@
         other = service("v", tag=1)
         for cores, faults in ((CORES["votes before it holds all"], True), (Cores(acceptor=InPieces), False)):
             table = Table.laid(Case(THREE, (("a", SERVICE), ("c", other)), starts=3, wipes=1), cores)
-            begin(table, "a")
-            ask(table, "a", "b")
-            put(table, "a", "b")
-            wipe(table, "b", "ac")
-            begin(table, "c", above=1)
-            ask(table, "c", "b")
+            start_attempt(table, "a")
+            send_prepare(table, "a", "b")
+            send_accept(table, "a", "b")
+            wipe_and_enrol(table, "b", "ac")
+            start_attempt(table, "c", above=1)
+            send_prepare(table, "c", "b")
             if any(each[:2] == ("c", "b") for each in table.flying):
-                put(table, "c", "b")
+                send_accept(table, "c", "b")
             self.assertEqual(faults, bool(table.faults))
 
     def test_one_holds_a_lease(self) -> None:
