--- a/foxspread/agreed/course.py
+++ b/foxspread/agreed/course.py
@@ -8,8 +8,17 @@
 from foxspread.agreed import keys
 from foxspread.agreed.contents import content
 from foxspread.config import ConfigError
-from foxspread.consensus.messages import Row, encoded
-from foxspread.consensus.versions import Conflict, Done, Misused, Put, State, Version, Versions
+from foxspread.consensus.records import Row
+from foxspread.consensus.wire import encode
+from foxspread.consensus.versions import (
+    PutVersion,
+    RequestIdReused,
+    Version,
+    VersionConflict,
+    VersionHistory,
+    VersionStore,
+    VersionWritten,
+)
 
 HOLDERS_MOST = 10_000
 ALONES_MOST = 64  # alone parts that somebody may act on; a further version waits until one has run out
@@ -72,11 +81,11 @@
     version: int
 
 
-Command = Put | Terms | Open | Close | Announce | Force | Withdraw | Drop
+Command = PutVersion | Terms | Open | Close | Announce | Force | Withdraw | Drop
 
 
 class CourseState(Row):
-    state: State
+    state: VersionHistory
     phase: int
     settled: int
     next: int
@@ -87,7 +96,7 @@
     more: bytes = b""  # of what stands on it (foxspread/duties)
 
 
-class Course(Versions):
+class Course(VersionStore):
     def __init__(self) -> None:
         super().__init__()
         self.phase, self.settled, self.next = 0, 0, 0
@@ -96,9 +105,9 @@
         self.withdrawn: dict[int, str] = {}  # by number, why
         self.terms: Terms | None = None  # the first that were proposed; no lease is given before
 
-    def apply(self, body: bytes) -> Done | Conflict | Misused | None:
+    def apply(self, body: bytes) -> VersionWritten | VersionConflict | RequestIdReused | None:
         command = msgspec.msgpack.decode(body, type=Command)
-        if isinstance(command, Put):
+        if isinstance(command, PutVersion):
             return self.put(command)
         if isinstance(command, Terms):
             self.terms = self.terms or command
@@ -152,9 +161,9 @@
         return ""
 
     def saved(self) -> bytes:
-        return encoded(
+        return encode(
             CourseState(
-                State(self.latest, list(self.by_number.values())),
+                VersionHistory(self.latest, list(self.by_number.values())),
                 self.phase,
                 self.settled,
                 self.next,
@@ -176,7 +185,7 @@
         if not data:
             return super().restore(data)
         told = msgspec.msgpack.decode(data, type=CourseState)
-        super().restore(encoded(told.state))
+        super().restore(encode(told.state))
         self.phase, self.settled, self.next = told.phase, told.settled, told.next
         self.holders, self.alones, self.withdrawn = set(told.holders), told.alones, told.withdrawn
         self.terms = told.terms
--- a/foxspread/agreed/process.py
+++ b/foxspread/agreed/process.py
@@ -20,8 +20,9 @@
 from foxspread.agreed.steward import Steward
 from foxspread.config import ConfigError, Section
 from foxspread.consensus.coordinator import Status
-from foxspread.consensus.file import Told
-from foxspread.consensus.process import ID, Process, told, waits
+from foxspread.consensus.configuration import CoordinatorConfig
+from foxspread.consensus.http_api import IDENTIFIER, json_reply, watch_parameters
+from foxspread.consensus.process import CoordinatorProcess
 from foxspread.net import http
 
 
@@ -35,7 +36,7 @@
         raise ConfigError(fault)
 
 
-def with_terms(file: Told, path: str) -> Told:
+def with_terms(file: CoordinatorConfig, path: str) -> CoordinatorConfig:
     """The `leases` section of a coordinator's file: what it proposes where the fleet has agreed on none
     yet."""
     with open(path, "rb") as opened:
@@ -50,13 +51,13 @@
     )
     if terms.drift > 0.5:
         raise ConfigError(f"'leases.drift' must be at most 0.5, not {terms.drift:g}")
-    return replace(file, more={"terms": terms})
+    return replace(file, host_options={"terms": terms})
 
 
-class StewardProcess(Process):
-    host_kind = Steward
+class StewardProcess(CoordinatorProcess):
+    coordinator_type = Steward
 
-    def look(self, contents: bytes, wish: dict[str, Any]) -> None:
+    def check_against_latest(self, contents: bytes, wish: dict[str, Any]) -> None:
         """Asks about what a person may not have meant; two puts that cross each other may both pass."""
         latest = self.host.course.get()
         if latest is not None and wish.get("even_so") is not True:
@@ -68,24 +69,24 @@
         if call == (b"POST", "/lease"):
             return await self._lease(msgspec.json.decode(message.body, type=dict[str, Any]))
         if call == (b"GET", "/phase"):
-            answer = await self._ask(self.host.watch_phase, *waits(message))
-            return told(200, status="done", phase=answer.value)
+            answer = await self._submit(self.host.watch_phase, *watch_parameters(message))
+            return json_reply(200, status="done", phase=answer.value)
         if call == (b"GET", "/course"):
-            return told(200, **self.course())
+            return json_reply(200, **self.course())
         return await super()._call(message, path)
 
     async def _lease(self, wish: dict[str, Any]) -> tuple[int, bytes]:
         holder, phase, refused, why = (wish.get(each) for each in ("holder", "phase", "refused", "why"))
-        if not isinstance(holder, str) or ID.fullmatch(holder.replace("/", ":")) is None:
+        if not isinstance(holder, str) or IDENTIFIER.fullmatch(holder.replace("/", ":")) is None:
             raise ValueError("'holder' must be an id")
         if not all(isinstance(each, int) and not isinstance(each, bool) for each in (phase, refused)):
             raise ValueError("'phase' and 'refused' must be whole numbers")
         if not isinstance(why, str) or len(why) > 300:
             raise ValueError("'why' must be a text of at most 300 characters")
-        answer = await self._ask(self.host.ask, Ask(holder, 0.0, phase, refused, why))
+        answer = await self._submit(self.host.ask, Ask(holder, 0.0, phase, refused, why))
         if answer.status is Status.DONE and isinstance(answer.value, Grant):
-            return told(200, status="done", grant=asdict(answer.value))
-        return self._answered(answer)
+            return json_reply(200, status="done", grant=asdict(answer.value))
+        return self._reply(answer)
 
     def course(self) -> dict[str, Any]:
         host, now = self.host, self.clock()
@@ -103,7 +104,7 @@
                 if each in course.holders
             }
         return {
-            "coordinator": self.told.name,
+            "coordinator": self.config.name,
             "leads": host.lead is not None,
             "phase": course.phase,
             "settled": course.settled,
--- a/foxspread/agreed/steward.py
+++ b/foxspread/agreed/steward.py
@@ -16,9 +16,11 @@
 
 from foxspread.agreed.course import Announce, Close, Course, Drop, Force, Open, Terms, Withdraw
 from foxspread.agreed.holder import Ask, Grant
-from foxspread.consensus.coordinator import Answer, Coordinator, Out, Status
-from foxspread.consensus.core import Refused, Role
-from foxspread.consensus.messages import Row, Snapshot, encoded
+from foxspread.consensus.coordinator import Answer, Coordinator, Outputs, Status
+from foxspread.consensus.errors import RequestRejected
+from foxspread.consensus.raft import Role
+from foxspread.consensus.records import Row, Snapshot
+from foxspread.consensus.wire import encode
 
 GATHER = 0.02  # seconds for which asks gather, for one read and one report together
 ASKS_MOST = 8192  # asks that wait; more are turned away at once
@@ -64,7 +66,7 @@
 
 
 class Steward(Coordinator):
-    versions_kind = Course
+    store_type = Course
 
     def __init__(self, now: float, *told: Any, terms: Terms = Terms(), **more: Any) -> None:
         self.wish = terms  # what it proposes where none are agreed yet
@@ -95,8 +97,8 @@
     def ask(self, now: float, token: int, ask: Ask) -> None:
         """A lease; answered by a `Grant` on what is committed after this."""
         if len(self.asks) >= ASKS_MOST:
-            return self.answers.append(Answer(token, Status.REFUSED, f"{ASKS_MOST} asks wait already"))
-        self.asks[token] = Waiting(ask, now + self.patience)
+            return self.answers.append(Answer(token, Status.REJECTED, f"{ASKS_MOST} asks wait already"))
+        self.asks[token] = Waiting(ask, now + self.answer_timeout_s)
         heard = Heard(ask.phase, ask.refused, ask.why)
         if len(self.news) < STRAY_MOST:
             self.news[ask.holder] = heard
@@ -105,11 +107,11 @@
     def watch_phase(self, now: float, token: int, phase: int, wait: float) -> None:
         """Answered with the phase once it is a later one than this, or after `wait` seconds."""
         if self.course.phase > phase or len(self.watchers) >= ASKS_MOST:
-            return self.answers.append(Answer(token, Status.DONE, self.course.phase, self.member.leader))
+            return self.answers.append(Answer(token, Status.DONE, self.course.phase, self.raft.leader_id))
         self.watchers[token] = (phase, now + wait)
 
-    def left(self, token: int) -> None:
-        super().left(token)
+    def cancel(self, token: int) -> None:
+        super().cancel(token)
         self.asks.pop(token, None)
         self.watchers.pop(token, None)
 
@@ -121,9 +123,9 @@
         if tokens:
             self.own_tokens -= 1  # below zero: never a call's
             try:
-                self.member.read(now, self.own_tokens)
+                self.raft.read(now, self.own_tokens)
                 self.reading[self.own_tokens] = tokens
-            except Refused:
+            except RequestRejected:
                 for token in tokens:
                     self._no(token, "nobody leads")
         self._report(now)
@@ -132,12 +134,14 @@
         news, self.news = self.news, {}
         if self.lead is not None:
             self._hear(now, news)
-        elif news and self.member.leader:
+        elif news and self.raft.leader_id:
             rows = list(news.items())
             for at in range(0, len(rows), BATCH):
-                self.member.note(now, self.member.leader, encoded(Report(dict(rows[at : at + BATCH]))))
+                self.raft.send_host_message(
+                    now, self.raft.leader_id, encode(Report(dict(rows[at : at + BATCH])))
+                )
 
-    def _noted(self, now: float, sender: str, body: bytes) -> None:
+    def _host_message_received(self, now: float, sender: str, body: bytes) -> None:
         try:
             report = msgspec.msgpack.decode(body, type=Report)
         except msgspec.DecodeError:
@@ -163,7 +167,7 @@
 
     def _no(self, token: int, why: str) -> None:
         if self.asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.ELSEWHERE, why, self.member.leader))
+            self.answers.append(Answer(token, Status.NOT_LEADER, why, self.raft.leader_id))
 
     def _granted(self, now: float, token: int) -> None:
         waiting = self.asks.get(token)
@@ -175,7 +179,7 @@
             self.flush_at = min(self.flush_at, now + GATHER)
             return
         del self.asks[token]
-        self.answers.append(Answer(token, Status.DONE, self.grant(), self.member.leader))
+        self.answers.append(Answer(token, Status.DONE, self.grant(), self.raft.leader_id))
 
     def grant(self) -> Grant:
         course, terms = self.course, self.terms
@@ -184,13 +188,13 @@
     # Steps of the one that leads
 
     def _lead(self, now: float) -> None:
-        member = self.member
+        member = self.raft
         if member.role is not Role.LEADER:
             self.lead = None
             return
-        if self.lead is None or self.lead.term != member.term:
-            self.lead = Lead(member.term, now)
-        if member.applied < member.own_term_at:
+        if self.lead is None or self.lead.term != member.current_term:
+            self.lead = Lead(member.current_term, now)
+        if member.last_applied < member.first_index_of_term:
             return  # it doesn't know yet what is committed
         lead, course, terms = self.lead, self.course, self.terms
         if course.terms is None:
@@ -245,9 +249,9 @@
         if self.lead.proposed.get(what, 0.0) > now:
             return
         try:
-            self.member.propose(now, encoded(command))
+            self.raft.propose(now, encode(command))
             self.lead.proposed[what] = now + AGAIN
-        except Refused:
+        except RequestRejected:
             pass
 
     # What happens
@@ -262,7 +266,7 @@
         for token, (phase, until) in list(self.watchers.items()):
             if self.course.phase > phase or until <= now:
                 del self.watchers[token]
-                self.answers.append(Answer(token, Status.DONE, self.course.phase, self.member.leader))
+                self.answers.append(Answer(token, Status.DONE, self.course.phase, self.raft.leader_id))
 
     def wake_at(self) -> float:
         first = next(iter(self.asks.values()), None)
@@ -281,7 +285,7 @@
             )
         return float("inf")
 
-    def take(self, now: float) -> Out:
+    def take(self, now: float) -> Outputs:
         if now >= self.flush_at:
             self._flush(now)
         self._lead(now)
@@ -294,7 +298,7 @@
             out.answers += more.answers
         return out
 
-    def _read_done(self, now: float, token: int, holds: bool) -> bool:
+    def _read_finished(self, now: float, token: int, holds: bool) -> bool:
         """True where the read was one of its own."""
         tokens = self.reading.pop(token, None)
         if tokens is None:
@@ -308,13 +312,13 @@
 
     def _restored(self, snapshot: Snapshot) -> None:
         super()._restored(snapshot)
-        now = self.member.now  # the steps were committed before this
+        now = self.raft.now  # the steps were committed before this
         self.phase_at = self.closed_at = self.forced_at = now
         self.replaced_at = {each: now for each in self.course.alones if each != self.course.settled}
         self._watched_phase(now)
 
     def _applied(self, index: int, entry: Any) -> None:
-        course, now = self.course, self.member.now
+        course, now = self.course, self.raft.now
         before = (course.phase, course.settled, len(course.holders))
         super()._applied(index, entry)
         if course.phase != before[0]:
--- a/foxspread/cli/coordinator.py
+++ b/foxspread/cli/coordinator.py
@@ -10,7 +10,8 @@
 import click
 
 from foxspread.config import Address, ConfigError, address
-from foxspread.consensus.client import Client, Reply, Unreached
+from foxspread.consensus.client import Client, Reply
+from foxspread.consensus.errors import NoAnswerError
 
 FILE = click.Path(dir_okay=False)
 
@@ -45,7 +46,7 @@
     """Exit code 1 where nobody answers in time, with what is known of it."""
     try:
         return asyncio.run(ask(Client(at, within)))
-    except Unreached as error:
+    except NoAnswerError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -95,8 +96,8 @@
     from loguru import logger
 
     from foxspread.agreed import process as agreed
-    from foxspread.consensus import file as files
-    from foxspread.consensus.disk import DiskError
+    from foxspread.consensus import configuration as files
+    from foxspread.consensus.errors import StorageError
     from foxspread.net import log
 
     async def main() -> None:
@@ -117,7 +118,7 @@
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(main())
-    except (DiskError, OSError) as error:
+    except (StorageError, OSError) as error:
         click.echo(f"foxspread: {error}", err=True)
         return 1
     finally:
@@ -190,7 +191,7 @@
 
 
 def changed(name: str, where: str | None, at: list[Address], within: float, as_json: bool) -> None:
-    reply = asked(at, within, lambda client: client.change(name, where))
+    reply = asked(at, within, lambda client: client.change_membership(name, where))
     printed(reply, as_json, f"{name} is {'a member' if where else 'removed'}")
 
 
@@ -201,4 +202,8 @@
 @JSON
 def hand_over(name: str, at: list[Address], within: float, as_json: bool) -> None:
     """Have member NAME lead, as before work on the host of the one that does."""
-    printed(asked(at, within, lambda client: client.hand_over(name)), as_json, f"{name} is asked to lead")
+    printed(
+        asked(at, within, lambda client: client.transfer_leadership(name)),
+        as_json,
+        f"{name} is asked to lead",
+    )
--- a/foxspread/cli/processes.py
+++ b/foxspread/cli/processes.py
@@ -138,7 +138,7 @@
     broken."""
     told = explorer.CASES[case]
     told = replace(told, depth=depth or told.depth)
-    kind = mutants.MUTANTS[mutant].broken.member if mutant else explorer.Member
+    kind = mutants.MUTANTS[mutant].broken.member if mutant else explorer.RaftNode
     found = explorer.Explorer(told, kind).explore()
     if as_json:
         click.echo(json.dumps(asdict(found)))
--- a/foxspread/cli/rules.py
+++ b/foxspread/cli/rules.py
@@ -17,7 +17,8 @@
 from foxspread.agreed.course import Terms
 from foxspread.cli.coordinator import AT, JSON, WITHIN, asked, printed
 from foxspread.config import Address, ConfigError
-from foxspread.consensus.client import Client, Reply, Unreached, call
+from foxspread.consensus.client import Client, Reply, call
+from foxspread.consensus.errors import NoAnswerError
 from foxspread.net.http import BadMessage
 
 FILE = click.Path(exists=True, dir_okay=False)
@@ -129,8 +130,8 @@
 
     try:
         return asyncio.run(ask(Client(at, within)))
-    except Unreached as error:
-        open = bool(request) and error.open
+    except NoAnswerError as error:
+        open = bool(request) and error.maybe_written
         what = (
             f"not known whether written; try again with --request {request}"
             if open
@@ -246,7 +247,7 @@
             except (OSError, TimeoutError, BadMessage):
                 continue
         if not found:
-            raise Unreached("no coordinator answers", False)
+            raise NoAnswerError("no coordinator answers", False)
         return max(found, key=lambda row: (row["leads"], row["phase"]))
 
     return asked(at, within, ask)
--- a/foxspread/consensus/clock.py
+++ b/foxspread/consensus/clock.py
@@ -1,15 +1,19 @@
-"""The clock of what processes agree on: durations only, and it goes on while a machine is suspended.
-`CLOCK_MONOTONIC` may stand still then, and a leader that slept would think that it was heard a moment ago.
+"""The clock of consensus and leases: durations only, counted on while a machine is suspended.
+
+CLOCK_MONOTONIC may stand still during a suspension; a leader that was suspended would then believe that it
+heard a majority a moment ago. CLOCK_BOOTTIME does not (clock_gettime(2)).
 """
 
 import time
 
+ORIGIN_S = 1.0  # what a new clock shows: above 0, which stands for "never" in some comparisons
+
 
 class Clock:
-    """Seconds since some moment. `rate` is for the lab: a clock that runs fast or slow."""
+    """Seconds since its creation. `rate`: for experiments, a clock that runs fast or slow."""
 
     def __init__(self, rate: float = 1.0) -> None:
-        self.rate, self.zero = rate, time.clock_gettime(time.CLOCK_BOOTTIME)
+        self.rate, self.started = rate, time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def __call__(self) -> float:
-        return (time.clock_gettime(time.CLOCK_BOOTTIME) - self.zero) * self.rate + 1.0
+        return (time.clock_gettime(time.CLOCK_BOOTTIME) - self.started) * self.rate + ORIGIN_S
--- a/foxspread/consensus/coordinator.py
+++ b/foxspread/consensus/coordinator.py
@@ -1,6 +1,8 @@
-"""One coordinator without I/O: a member of the log, the versions that it makes, and the calls that wait for
-an answer. A call is answered once, and within its patience. What is not known to be written, nor known not to
-be, is said to be so (`UNKNOWN`): the caller asks again with the same request id.
+"""One coordinator without I/O: a Raft node, the versions that its log makes, and the calls that wait.
+
+Each call is answered once, within the answer time-out. A write that is neither known to be committed nor
+known not to be is answered `UNKNOWN`: the caller tries again with the same request id, which is idempotent
+(`versions`).
 """
 
 import enum
@@ -8,237 +10,291 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.consensus.core import Member, Refused, Role, Settings
-from foxspread.consensus.messages import Envelope, Members, Saved, Snapshot, Write, encoded
-from foxspread.consensus.versions import Put, Versions
+from foxspread.consensus.errors import RequestRejected
+from foxspread.consensus.messages import Envelope
+from foxspread.consensus.raft import RaftNode, RaftSettings, Ready, Role
+from foxspread.consensus.records import LogEntry, Members, Snapshot, StorageWrite, StoredState
+from foxspread.consensus.versions import PutVersion, VersionStore
+from foxspread.consensus.wire import encode
 
-WATCHES_MOST = 2048  # calls that wait for a later version
-CALLS_MOST = 1024  # calls that wait; more are turned away at once
-COMPACT_BYTES = (
-    1024 * 1024
-)  # of the log; from here on a snapshot is made, and not before it is as long as the last one
+MAX_WATCHES = 2048  # calls that wait for a later version
+MAX_PENDING_CALLS = 1024  # further calls are rejected at once
+MIN_COMPACTION_BYTES = 1024 * 1024  # of log entries, before a snapshot is worth its write
+DEFAULT_ANSWER_TIMEOUT_S = 2.0
 
 
 class Status(enum.Enum):
-    DONE = "done"  # what was asked for, or the state machine's own word against it
-    ELSEWHERE = "elsewhere"  # nothing was done: another one leads, or nobody does
-    REFUSED = "refused"  # nothing was done, and the text says why
-    UNKNOWN = "not known whether written"
+    """How a call ended; the values are those of the HTTP interface."""
+
+    DONE = "done"  # carried out, or answered by the state machine
+    NOT_LEADER = "elsewhere"  # nothing was done: another node leads, or none does
+    REJECTED = "refused"  # nothing was done, and the answer says why
+    UNKNOWN = "unknown"  # a write may or may not be committed
 
 
 @dataclass(frozen=True)
 class Answer:
+    """The answer to one call.
+
+    token: of the call.
+    value: of the state machine, or a reason as text.
+    leader: who leads, as far as this node knows; empty where it doesn't.
+    """
+
     token: int
     status: Status
-    value: Any = None  # of the state machine; a reason as text
-    leader: str = ""  # who leads, as far as this one knows
+    value: Any = None
+    leader: str = ""
 
 
 @dataclass
-class Call:
+class PendingCall:
+    """A read or a write that waits for Raft until `deadline`.
+
+    number: of a read: the version asked for; 0: the latest.
+    index, term: of a write: its log entry; index 0: it is a read.
+    """
+
     token: int
-    until: float
-    number: int = -1  # a read: the version asked for (0: the latest)
-    index: int = 0  # a write: its place in the log
+    deadline: float
+    number: int = -1
+    index: int = 0
     term: int = 0
 
 
+@dataclass(frozen=True)
+class Watch:
+    """A call that waits for a version later than `known_version`, until `deadline`."""
+
+    known_version: int
+    deadline: float
+
+
 @dataclass
-class Out:
+class Outputs:
+    """What the process has to do: messages to send, writes to make durable, answers to give."""
+
     messages: list[Envelope] = field(default_factory=list)
-    writes: list[Write] = field(default_factory=list)
+    writes: list[StorageWrite] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
 
 
 class Coordinator:
-    """`patience`: seconds within which each call is answered."""
+    """All times are seconds of the process's clock; tokens are the caller's, one for each call."""
 
-    kind, versions_kind = Member, Versions  # the lab puts broken ones here
-    compact_bytes = COMPACT_BYTES
+    # Replaced by subclasses, and by the faulty ones of the lab.
+    node_type, store_type = RaftNode, VersionStore
+    min_compaction_bytes = MIN_COMPACTION_BYTES
 
     def __init__(
         self,
         now: float,
-        me: str,
+        node_id: str,
         fleet: str,
-        saved: Saved,
+        stored: StoredState,
         members: Members,
-        settings: Settings,
-        chance: Callable[[], float],
-        patience: float = 2.0,
+        settings: RaftSettings,
+        random: Callable[[], float],
+        answer_timeout_s: float = DEFAULT_ANSWER_TIMEOUT_S,
     ) -> None:
-        self.member = self.kind(now, me, fleet, saved, members, settings, chance)
-        self.versions, self.patience = self.versions_kind(), patience
-        self.versions.restore(self.member.snapshot.data)
-        self.calls: dict[int, Call] = {}
-        self.by_index: dict[int, int] = {}  # calls that wait for a place of the log
-        self.watches: dict[int, tuple[int, float]] = {}  # by token: the version that is known, until when
+        """Arguments are as of `RaftNode`, and the time within which each call is answered."""
+        self.raft = self.node_type(now, node_id, fleet, stored, members, settings, random)
+        self.versions, self.answer_timeout_s = self.store_type(), answer_timeout_s
+        self.versions.restore(self.raft.snapshot.data)
+        self.calls: dict[int, PendingCall] = {}  # by token
+        self.token_by_index: dict[int, int] = {}  # of writes
+        self.watches: dict[int, Watch] = {}  # by token
         self.answers: list[Answer] = []
-        self.log_bytes = sum(entry.size() for entry in self.member.log.entries)
+        self.log_bytes = self._count_log_bytes()
 
-    # What is asked
+    # Calls
 
-    def put(self, now: float, token: int, put: Put) -> None:
-        self._write(now, token, lambda: self.member.propose(now, encoded(put)))
+    def put(self, now: float, token: int, put: PutVersion) -> None:
+        """Writes a version; answered by a `PutResult`."""
+        self._write(now, token, lambda: self.raft.propose(now, encode(put)))
 
-    def change(self, now: float, token: int, member: str, address: str | None) -> None:
-        """Answered when the change is agreed; one that is added votes when it has caught up."""
-        self._write(now, token, lambda: self.member.change(now, member, address))
+    def change_membership(self, now: float, token: int, node_id: str, address: str | None) -> None:
+        """Adds or removes (`address` None) a member; answered when that is committed."""
+        self._write(now, token, lambda: self.raft.change_membership(now, node_id, address))
 
-    def _write(self, now: float, token: int, ask: Callable[[], tuple[int, int]]) -> None:
-        if self._room(token):
-            try:
-                index, term = ask()
-            except Refused as error:
-                return self._turn_away(token, str(error))
-            self.calls[token] = Call(token, now + self.patience, index=index, term=term)
-            self.by_index[index] = token
+    def _write(self, now: float, token: int, propose: Callable[[], tuple[int, int]]) -> None:
+        if not self._has_capacity(token):
+            return
+        try:
+            index, term = propose()
+        except RequestRejected as error:
+            return self._reject(token, str(error))
+        self.calls[token] = PendingCall(token, now + self.answer_timeout_s, index=index, term=term)
+        self.token_by_index[index] = token
 
     def get(self, now: float, token: int, number: int = 0) -> None:
-        """The latest version as of now (0), by the leader alone. One with a number never changes: whoever has
-        it answers."""
-        if number and (found := self.versions.get(number)) is not None:
-            return self.answers.append(Answer(token, Status.DONE, found, self.member.leader))
-        if self._room(token):
-            try:
-                self.member.read(now, token)
-            except Refused as error:
-                return self._turn_away(token, str(error))
-            self.calls[token] = Call(token, now + self.patience, number)
-
-    def watch(self, now: float, token: int, known: int, wait: float) -> None:
-        """The latest version that this member has, once it is later than the known one, or after `wait`
-        seconds. Any member answers; it may be behind, so this is no read as of now."""
-        if self.versions.latest > known:
-            self.answers.append(Answer(token, Status.DONE, self.versions.get(), self.member.leader))
-        elif len(self.watches) >= WATCHES_MOST:
-            self.answers.append(Answer(token, Status.REFUSED, f"{WATCHES_MOST} calls watch already"))
+        """A version; the latest one (0) is a linearizable read.
+
+        A version with a number never changes, so whichever node has it answers at once.
+        """
+        if number and (version := self.versions.get(number)) is not None:
+            return self._answer(token, Status.DONE, version)
+        if not self._has_capacity(token):
+            return
+        try:
+            self.raft.read(now, token)
+        except RequestRejected as error:
+            return self._reject(token, str(error))
+        self.calls[token] = PendingCall(token, now + self.answer_timeout_s, number)
+
+    def watch(self, now: float, token: int, known_version: int, wait: float) -> None:
+        """The latest version of this node, once it is later than the known one, or after `wait` seconds.
+
+        Any node answers, and it may lag behind the leader.
+        """
+        if self.versions.latest > known_version:
+            self._answer(token, Status.DONE, self.versions.get())
+        elif len(self.watches) >= MAX_WATCHES:
+            self.answers.append(Answer(token, Status.REJECTED, f"{MAX_WATCHES} calls watch already"))
         else:
-            self.watches[token] = (known, now + wait)
+            self.watches[token] = Watch(known_version, now + wait)
 
-    def left(self, token: int) -> None:
+    def transfer_leadership(self, now: float, token: int, target: str) -> None:
+        """Asks `target` to lead; answered when the transfer has begun."""
+        try:
+            self.raft.transfer_leadership(now, target)
+        except RequestRejected as error:
+            return self._reject(token, str(error))
+        self._answer(token, Status.DONE)
+
+    def cancel(self, token: int) -> None:
         """Nobody waits for this call's answer any more."""
         self.watches.pop(token, None)
-        self.member.left(token)
+        self.raft.cancel_read(token)
 
-    def hand_over(self, now: float, token: int, to: str) -> None:
-        try:
-            self.member.hand_over(now, to)
-        except Refused as error:
-            return self._turn_away(token, str(error))
-        self.answers.append(Answer(token, Status.DONE, None, self.member.leader))
+    def _has_capacity(self, token: int) -> bool:
+        if len(self.calls) < MAX_PENDING_CALLS:
+            return True
+        self.answers.append(Answer(token, Status.REJECTED, f"{MAX_PENDING_CALLS} calls wait already"))
+        return False
 
-    def _room(self, token: int) -> bool:
-        if len(self.calls) >= CALLS_MOST:
-            self.answers.append(Answer(token, Status.REFUSED, f"{CALLS_MOST} calls wait already"))
-            return False
-        return True
+    def _reject(self, token: int, reason: str) -> None:
+        is_leader = self.raft.role is Role.LEADER
+        self._answer(token, Status.REJECTED if is_leader else Status.NOT_LEADER, reason)
 
-    def _turn_away(self, token: int, why: str) -> None:
-        leads = self.member.role is Role.LEADER
-        self.answers.append(
-            Answer(token, Status.REFUSED if leads else Status.ELSEWHERE, why, self.member.leader)
-        )
+    def _answer(self, token: int, status: Status, value: Any = None) -> None:
+        self.answers.append(Answer(token, status, value, self.raft.leader_id))
 
-    # What happens
+    # Inputs
 
     def receive(self, now: float, envelope: Envelope) -> None:
-        self.member.receive(now, envelope)
+        """A message from another node has arrived."""
+        self.raft.receive(now, envelope)
 
     def confirmed(self, now: float, number: int) -> None:
-        self.member.confirmed(now, number)
+        """All writes up to this number are durable."""
+        self.raft.confirmed(now, number)
 
-    def disk_failed(self, now: float, why: str) -> None:
-        self.member.disk_failed(now, why)
+    def disk_failed(self, now: float, reason: str) -> None:
+        """A write failed; see `RaftNode.disk_failed`."""
+        self.raft.disk_failed(now, reason)
 
     def tick(self, now: float) -> None:
-        self.member.tick(now)
-        for call in [each for each in self.calls.values() if each.until <= now]:
-            del self.calls[call.token]
-            if not call.index:
-                self.member.left(call.token)
-            if self.by_index.get(call.index) == call.token:  # a later call may wait for the same place
-                del self.by_index[call.index]
-            if call.index:
-                self.answers.append(
-                    Answer(call.token, Status.UNKNOWN, "no majority answered in time", self.member.leader)
-                )
-            else:
-                self.answers.append(Answer(call.token, Status.ELSEWHERE, "no majority answered in time"))
-
-        self._watched(now)
-
-    def _watched(self, now: float) -> None:
-        latest = self.versions.latest
-        for token, (known, until) in list(self.watches.items()):
-            if latest > known or until <= now:
+        """Acts on the time; to be called at `wake_at`."""
+        self.raft.tick(now)
+        for call in [each for each in self.calls.values() if each.deadline <= now]:
+            self._time_out(call)
+        self._answer_watches(now)
+
+    def _time_out(self, call: PendingCall) -> None:
+        reason = "no majority answered in time"
+        del self.calls[call.token]
+        if not call.index:
+            self.raft.cancel_read(call.token)
+            self.answers.append(Answer(call.token, Status.NOT_LEADER, reason))
+            return
+        if self.token_by_index.get(call.index) == call.token:  # a later call may wait for the same index
+            del self.token_by_index[call.index]
+        self._answer(call.token, Status.UNKNOWN, reason)
+
+    def _answer_watches(self, now: float) -> None:
+        for token, watch in list(self.watches.items()):
+            if self.versions.latest > watch.known_version or watch.deadline <= now:
                 del self.watches[token]
-                self.answers.append(Answer(token, Status.DONE, self.versions.get(), self.member.leader))
+                self._answer(token, Status.DONE, self.versions.get())
 
     def wake_at(self) -> float:
-        first = next(iter(self.calls.values()), None)  # patience is one for all: the oldest comes first
-        watched = min((until for _, until in self.watches.values()), default=float("inf"))
-        return min(self.member.wake_at(), first.until if first else float("inf"), watched)
-
-    def take(self, now: float) -> Out:
-        out = Out()
-        while ready := self.member.take():
-            out.messages += ready.messages
-            out.writes += ready.writes
-            if ready.restored is not None:
-                self._restored(ready.restored)
-            for index, entry in ready.entries:
-                self._applied(index, entry)
-            for sender, body in ready.notes:
-                self._noted(now, sender, body)
-            for token, holds in ready.reads:
-                if self._read_done(now, token, holds):
-                    continue
-                if (call := self.calls.pop(token, None)) is not None:
-                    value = self.versions.get(call.number)
-                    self.answers.append(
-                        Answer(token, Status.DONE, value, self.member.leader)
-                        if holds
-                        else Answer(token, Status.ELSEWHERE, "it leads no more", self.member.leader)
-                    )
-            if self.watches and (ready.entries or ready.restored is not None):
-                self._watched(now)
-            self._compact(now)
-        out.answers, self.answers = self.answers, []
-        return out
+        """When `tick` next has something to do; infinite where it has nothing."""
+        oldest = next(iter(self.calls.values()), None)  # the time-out is one for all: it ends first
+        call_deadline = oldest.deadline if oldest else float("inf")
+        watch_deadline = min((watch.deadline for watch in self.watches.values()), default=float("inf"))
+        return min(self.raft.wake_at(), call_deadline, watch_deadline)
+
+    # Outputs
+
+    def take(self, now: float) -> Outputs:
+        """Applies what is committed, and returns what is to be done since the last call."""
+        outputs = Outputs()
+        while ready := self.raft.take():
+            outputs.messages += ready.messages
+            outputs.writes += ready.writes
+            self._apply(now, ready)
+        outputs.answers, self.answers = self.answers, []
+        return outputs
+
+    def _apply(self, now: float, ready: Ready) -> None:
+        if ready.restored is not None:
+            self._restored(ready.restored)
+        for index, entry in ready.entries:
+            self._applied(index, entry)
+        for sender, body in ready.host_messages:
+            self._host_message_received(now, sender, body)
+        for token, confirmed in ready.reads:
+            if not self._read_finished(now, token, confirmed):
+                self._answer_read(token, confirmed)
+        if self.watches and (ready.entries or ready.restored is not None):
+            self._answer_watches(now)
+        self._compact(now)
+
+    def _answer_read(self, token: int, confirmed: bool) -> None:
+        call = self.calls.pop(token, None)
+        if call is None:
+            return  # it has timed out
+        if confirmed:
+            self._answer(token, Status.DONE, self.versions.get(call.number))
+        else:
+            self._answer(token, Status.NOT_LEADER, "it leads no more")
 
     def _restored(self, snapshot: Snapshot) -> None:
         self.versions.restore(snapshot.data)
-        self.log_bytes = sum(entry.size() for entry in self.member.log.entries)
-        for index in [each for each in self.by_index if each <= snapshot.index]:
-            token = self.by_index.pop(index)  # it is in there, or not: the snapshot doesn't tell
+        self.log_bytes = self._count_log_bytes()
+        for index in [each for each in self.token_by_index if each <= snapshot.index]:
+            token = self.token_by_index.pop(index)  # whether the snapshot includes this write is not known
             del self.calls[token]
-            self.answers.append(Answer(token, Status.UNKNOWN, "this member fell behind", self.member.leader))
+            self._answer(token, Status.UNKNOWN, "this member fell behind")
 
-    def _applied(self, index: int, entry: Any) -> None:
+    def _applied(self, index: int, entry: LogEntry) -> None:
         self.log_bytes += entry.size()
         value = self.versions.apply(entry.body) if entry.body else entry.members
-        token = self.by_index.pop(index, None)
-        if token is not None:
-            call = self.calls.pop(token)
-            if call.term == entry.term:
-                self.answers.append(Answer(token, Status.DONE, value, self.member.leader))
-            else:  # another's entry took its place: it was not written, and never will be
-                self.answers.append(
-                    Answer(token, Status.ELSEWHERE, "another leader's entry stands there", self.member.leader)
-                )
-
-    def _noted(self, now: float, sender: str, body: bytes) -> None:
-        """What another member's host says; a coordinator of versions alone says nothing."""
-
-    def _read_done(self, now: float, token: int, holds: bool) -> bool:
-        """True where the read was one of the host's own."""
+        token = self.token_by_index.pop(index, None)
+        if token is None:
+            return
+        call = self.calls.pop(token)
+        if call.term == entry.term:
+            self._answer(token, Status.DONE, value)
+        else:  # another leader's entry took the place of the call's, which will never be committed
+            self._answer(token, Status.NOT_LEADER, "another leader's entry stands there")
+
+    def _host_message_received(self, now: float, sender: str, body: bytes) -> None:
+        """For subclasses: a message from another node's host."""
+
+    def _read_finished(self, now: float, token: int, confirmed: bool) -> bool:
+        """For subclasses: True where the read was one of their own."""
         return False
 
     def _compact(self, now: float) -> None:
-        """A log as long as what it makes: a snapshot's cost is spread over as many bytes of entries."""
-        if self.log_bytes > max(self.compact_bytes, len(self.member.snapshot.data)):
-            before = self.member.snapshot.index
-            self.member.compact(now, self.member.applied, self.versions.saved())
-            if self.member.snapshot.index > before:
-                self.log_bytes = sum(entry.size() for entry in self.member.log.entries)
+        """Takes a snapshot once the log is longer than the last one, which spreads its cost."""
+        if self.log_bytes <= max(self.min_compaction_bytes, len(self.raft.snapshot.data)):
+            return
+        previous_index = self.raft.snapshot.index
+        self.raft.compact(now, self.raft.last_applied, self.versions.saved())
+        if self.raft.snapshot.index > previous_index:
+            self.log_bytes = self._count_log_bytes()
+
+    def _count_log_bytes(self) -> int:
+        return sum(entry.size() for entry in self.raft.log.entries)
--- a/foxspread/consensus/messages.py
+++ b/foxspread/consensus/messages.py
@@ -1,286 +1,194 @@
-"""What coordinators say to each other and write to disk: plain records, in msgpack by msgspec.
+"""The messages between coordinators, by the names of the Raft paper and thesis.
 
-Every message travels in an `Envelope` with the fleet's id, the format's version and the stamp of its sender,
-so that strangers, other versions and disks that are not what they were are found before anything is read
-further.
+Each is a frozen, positional msgspec struct (`records.Row`): its fields' order is the format, and
+`wire_tags` spells its kind. `term` is the sender's current term in all of them, except where noted.
+Sources: [R] figures 2 and 13, [T] 3.10 (TimeoutNow), 6.4 (ReadIndex), 9.6 (pre-vote).
 """
 
-from typing import Any
+from foxspread.consensus import wire_tags
+from foxspread.consensus.records import LogEntry, Members, ObservedStorage, Row, StorageIdentity
 
-import msgspec
+SNAPSHOT_CHUNK_BYTES = 24 * 1024  # data in one InstallSnapshot: one such message must not delay a heartbeat
+ENTRIES_BATCH_BYTES = 48 * 1024  # entries in one AppendEntries, unless one alone is larger
 
-FORMAT = 1  # of envelopes and of what is on disk; another one is refused by name
-PIECE = 24 * 1024  # bytes of a snapshot in one message
-BATCH = 48 * 1024  # bytes of entries in one message, unless one alone is longer
-BODY_MOST = 40 * 1024  # bytes of one entry
 
+class RequestVote(Row, frozen=True, tag=wire_tags.REQUEST_VOTE):
+    """A candidate asks for a vote ([R] 5.2), or whether it would get one ([T] 9.6).
 
-class Row(msgspec.Struct, array_like=True):
-    """Written by position: small, and a field more at the end is read by none but those that know it."""
-
-
-class Seat(Row, frozen=True):
-    """A member as all know it. One that is not a voter is catching up. `since`: index of the entry that added
-    it; one that is removed and added anew has another."""
-
-    address: str
-    voter: bool = True
-    since: int = 0
-
-
-Members = dict[str, Seat]
-
-
-class Entry(Row, frozen=True):
-    """One place of the log: a command for what is agreed on, the members from here on, or neither."""
+    term: the term of the election; with `pre_vote` the one that would be started.
+    last_log_index, last_log_term: of the candidate's last entry ([R] 5.4.1).
+    pre_vote: nothing is promised by the reply.
+    leadership_transfer: the leader itself asked for this election, so voters don't protect it.
+    """
 
     term: int
-    body: bytes = b""
-    members: Members | None = None
-
-    def size(self) -> int:
-        return len(self.body) + 32 + (64 * len(self.members) if self.members else 0)
-
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool = False
+    leadership_transfer: bool = False
 
-class Stamp(Row, frozen=True):
-    """What a disk is known by. `count` rises with each write that was confirmed; a disk that is wiped, copied
-    or put back to an earlier state can't show what others have seen of it."""
 
-    identity: str  # drawn once for each disk
-    generation: int  # starts of a process on it
-    run: str  # drawn at each start
-    began: int  # count at that start
-    count: int
-    since: int = -1  # of the seat that it takes itself to have; -1: it knows of none
-
-
-class Known(Row, frozen=True):
-    """What was last seen of a member's disk, and the seat that it was seen in."""
-
-    stamp: Stamp
-    since: int
-
-
-class AskVote(Row, frozen=True, tag="ask_vote"):
-    """Would it be given (pre), is it given: a vote for `term`. `handed`: the leader itself asked for this."""
+class RequestVoteReply(Row, frozen=True, tag=wire_tags.REQUEST_VOTE_REPLY):
+    """Whether the vote is granted; a granted pre-vote has the term that was asked for."""
 
     term: int
-    last: int
-    last_term: int
-    pre: bool = False
-    handed: bool = False
-
+    vote_granted: bool
+    pre_vote: bool = False
 
-class Vote(Row, frozen=True, tag="vote"):
-    term: int
-    granted: bool
-    pre: bool = False
 
+class AppendEntries(Row, frozen=True, tag=wire_tags.APPEND_ENTRIES):
+    """A leader's entries after `prev_log_index`; without entries a heartbeat ([R] 5.3).
 
-class Append(Row, frozen=True, tag="append"):
-    """A leader's entries after `previous`, and its word that it still leads; `round` comes back in the
-    answer."""
+    leader_commit: the leader's commit index.
+    heartbeat_round: returned in the reply, so that a read can tell replies to later messages ([T] 6.4).
+    member_added_at: the receiver's membership, as the leader knows it.
+    disk_id: the receiver's disk, as the leader last heard it; empty: not heard yet.
+    observed_storage: what the leader knows of all members' disks, in heartbeats only.
+    """
 
     term: int
-    previous: int
-    previous_term: int
-    entries: list[Entry]
-    committed: int
-    round: int
-    seat: int = -1  # of whom it goes to, as the leader knows it...
-    identity: str = ""  # ... and that one's disk, once it was heard
-    known: dict[str, Known] = {}
+    prev_log_index: int
+    prev_log_term: int
+    entries: list[LogEntry]
+    leader_commit: int
+    heartbeat_round: int
+    member_added_at: int = -1
+    disk_id: str = ""
+    observed_storage: dict[str, ObservedStorage] = {}
+
 
+class AppendEntriesReply(Row, frozen=True, tag=wire_tags.APPEND_ENTRIES_REPLY):
+    """Whether the log now matches the leader's, also sent where a snapshot turned out to be unnecessary.
 
-class Appended(Row, frozen=True, tag="appended"):
-    """Agreed: all up to `index` is the leader's. Otherwise: try again from after `index`."""
+    index: with `success` the log is the leader's up to here; otherwise the leader is to send what follows it.
+    """
 
     term: int
-    agreed: bool
+    success: bool
     index: int
-    round: int
+    heartbeat_round: int
 
 
-class Install(Row, frozen=True, tag="install"):
-    """A piece of a snapshot that stands for all entries up to `index`."""
+class InstallSnapshot(Row, frozen=True, tag=wire_tags.INSTALL_SNAPSHOT):
+    """One chunk of a snapshot ([R] figure 13).
+
+    last_included_index, last_included_term: of the last entry that the snapshot replaces.
+    members, members_index: as in `Snapshot`.
+    offset: of `data` in the snapshot, in bytes.
+    done: whether this is the last chunk.
+    heartbeat_round, member_added_at, disk_id: as in `AppendEntries`.
+    """
 
     term: int
-    index: int
-    index_term: int
+    last_included_index: int
+    last_included_term: int
     members: Members
-    members_at: int
-    at: int
+    members_index: int
+    offset: int
     data: bytes
-    whole: bool  # this is its last piece
-    round: int
-    seat: int = -1
-    identity: str = ""
+    done: bool
+    heartbeat_round: int
+    member_added_at: int = -1
+    disk_id: str = ""
 
 
-class Installed(Row, frozen=True, tag="installed"):
-    """What of the snapshot has come: the next piece is the one at `at`."""
+class InstallSnapshotReply(Row, frozen=True, tag=wire_tags.INSTALL_SNAPSHOT_REPLY):
+    """How much of a snapshot was received: the next chunk is the one at `offset` bytes."""
 
     term: int
-    index: int
-    at: int
-    round: int
+    last_included_index: int
+    offset: int
+    heartbeat_round: int
 
 
-class HandOver(Row, frozen=True, tag="hand_over"):
-    """The leader asks this one to be elected at once."""
+class TimeoutNow(Row, frozen=True, tag=wire_tags.TIMEOUT_NOW):
+    """The leader asks a caught-up follower to start an election at once ([T] 3.10)."""
 
     term: int
 
 
-class ReadAsk(Row, frozen=True, tag="read_ask"):
-    """A follower's read, asked of the leader: what is committed as of now? `run` and `token` come back."""
+class ReadIndex(Row, frozen=True, tag=wire_tags.READ_INDEX):
+    """A follower asks the leader for the index that a read must wait for ([T] 6.4).
+
+    incarnation, token: of the asking process and its read; returned in the reply.
+    """
 
     term: int
-    run: str
+    incarnation: str
     token: int
 
 
-class ReadIs(Row, frozen=True, tag="read_is"):
-    """All up to `index` was committed when it was asked, and no more; not `led`: this one can't tell."""
+class ReadIndexReply(Row, frozen=True, tag=wire_tags.READ_INDEX_REPLY):
+    """The read may be answered once `read_index` is applied; without `is_leader` the sender can't tell."""
 
     term: int
-    run: str
+    incarnation: str
     token: int
-    index: int
-    led: bool
+    read_index: int
+    is_leader: bool
 
 
-class Note(Row, frozen=True, tag="note"):
-    """Something between the hosts of two members; the core only carries it. It may be lost, late or twice."""
+class HostMessage(Row, frozen=True, tag=wire_tags.HOST_MESSAGE):
+    """A message between the hosts of two nodes, only carried: it may be lost, late or duplicated."""
 
     term: int
     body: bytes
 
 
-class Hello(Row, frozen=True, tag="hello"):
-    """Asked at each start: does anybody know of later writes of mine?"""
+class StorageCheck(Row, frozen=True, tag=wire_tags.STORAGE_CHECK):
+    """Sent at each start: does a peer know of later writes of this disk? The envelope has its identity."""
+
 
+class StorageCheckReply(Row, frozen=True, tag=wire_tags.STORAGE_CHECK_REPLY):
+    """No later writes are known; `incarnation` is that of the process that asked."""
 
-class Welcome(Row, frozen=True, tag="welcome"):
-    run: str
+    incarnation: str
 
 
-class Objection(Row, frozen=True, tag="objection"):
-    """The sender knows more of this disk than the disk does. Holds for that one run of the process."""
+class StorageRejected(Row, frozen=True, tag=wire_tags.STORAGE_REJECTED):
+    """The receiver's disk shows less than it once acknowledged.
 
-    run: str
-    why: str
-    members_at: int  # index of the members that the sender knows
-    since: int  # as the stamp said that is objected to
+    incarnation: of the process that is rejected; it means nothing to a later one.
+    reason: for people.
+    members_index: index of the members that the sender knows.
+    member_added_at: as the rejected disk showed it.
+    """
+
+    incarnation: str
+    reason: str
+    members_index: int
+    member_added_at: int
 
 
 Message = (
-    AskVote
-    | Vote
-    | Append
-    | Appended
-    | Install
-    | Installed
-    | HandOver
-    | ReadAsk
-    | ReadIs
-    | Note
-    | Hello
-    | Welcome
-    | Objection
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+    | ReadIndex
+    | ReadIndexReply
+    | HostMessage
+    | StorageCheck
+    | StorageCheckReply
+    | StorageRejected
 )
 
 
 class Envelope(Row, frozen=True):
+    """A message with all that is checked before it is read.
+
+    fleet: id of the cluster.
+    format: version of the encoding.
+    sender, recipient: node ids.
+    storage: the sender's disk.
+    """
+
     fleet: str
     format: int
     sender: str
-    to: str
-    stamp: Stamp
+    recipient: str
+    storage: StorageIdentity
     message: Message
-
-
-class Snapshot(Row, frozen=True):
-    """All that the entries up to `index` have made, as bytes of whoever applies them."""
-
-    index: int = 0
-    term: int = 0
-    members: Members = {}
-    members_at: int = 0  # index of the entry that named them
-    data: bytes = b""
-
-
-class Write(Row, frozen=True):
-    """One record for the disk. What it holds is to be there whole or not at all, after all earlier ones."""
-
-    number: int
-    term: int
-    vote: str
-    known: dict[str, Known]
-    retired: dict[str, str]  # identities of disks whose members were removed
-    barred: str
-    first: int = 0  # entries replace all from this index on; 0: the log stays
-    entries: list[Entry] = []
-    snapshot: Snapshot | None = None  # entries up to its index go
-    kept: bool = True  # the log after the snapshot's index is kept
-    seat: int = -1  # `Seat.since` of the seat that this disk was made for; -1: not known yet
-
-
-class Saved(msgspec.Struct):
-    """What a disk holds when a process starts on it. `generation` already counts this start."""
-
-    identity: str
-    generation: int
-    count: int = 0
-    term: int = 0
-    vote: str = ""
-    known: dict[str, Known] = {}
-    retired: dict[str, str] = {}
-    barred: str = ""
-    seat: int = -1
-    snapshot: Snapshot = Snapshot()
-    entries: list[Entry] = []
-
-    def apply(self, write: Write) -> None:
-        """What the disk does with a record; the simulated disk and the tests' use it, SQLite has its own."""
-        self.term, self.vote, self.barred = write.term, write.vote, write.barred
-        self.known, self.retired, self.seat = write.known, write.retired, write.seat
-        self.count += 1
-        base = self.snapshot.index
-        if write.snapshot is not None:
-            gone = max(0, write.snapshot.index - base)
-            self.entries = self.entries[gone:] if write.kept else []
-            self.snapshot, base = write.snapshot, write.snapshot.index
-        if write.first:
-            self.entries = self.entries[: write.first - base - 1] + list(write.entries)
-
-
-class Foreign(Exception):
-    """A message that is not for this member, by its fleet, format or addressee."""
-
-
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Envelope)
-
-
-def encoded(value: Any) -> bytes:
-    return ENCODER.encode(value)
-
-
-def envelope(data: bytes, fleet: str, me: str) -> Envelope:
-    """Raises `Foreign` with what is at fault. The format is looked at before the rest is read."""
-    try:
-        head = msgspec.msgpack.decode(data)
-        told_fleet, told_format = head[0], head[1]
-    except (msgspec.DecodeError, LookupError, TypeError):
-        raise Foreign("no message of ours") from None
-    if told_format != FORMAT:
-        raise Foreign(f"format {repr(told_format)[:20]}, this member speaks {FORMAT}")
-    if told_fleet != fleet:
-        raise Foreign(f"fleet {str(told_fleet)[:60]!r}, this one is {fleet!r}")
-    try:
-        found = DECODER.decode(data)
-    except msgspec.DecodeError as error:
-        raise Foreign(f"a message that can't be read: {error}") from None
-    if found.to != me:
-        raise Foreign(f"addressed to {found.to[:60]!r}, this member is {me!r}")
-    return found
--- a/foxspread/consensus/process.py
+++ b/foxspread/consensus/process.py
@@ -1,13 +1,11 @@
-"""One coordinator as a process: the core's inputs come from sockets, the disk and the clock, and its outputs
-go there. Nothing is decided here.
+"""One coordinator as a process: connects the `Coordinator` to sockets, the disk and the clock.
+
+Nothing is decided here: inputs go to the coordinator, and what it returns is sent, stored and answered.
 """
 
 import asyncio
 import contextlib
-import json
 import random
-import re
-import time
 from collections.abc import Callable
 from typing import Any
 
@@ -15,341 +13,301 @@
 from loguru import logger
 
 from foxspread.config import ConfigError, address
-from foxspread.consensus import messages
+from foxspread.consensus import http_api, wire
 from foxspread.consensus.clock import Clock
-from foxspread.consensus.coordinator import Answer, Coordinator, Out, Status
-from foxspread.consensus.core import Contradiction, Role
-from foxspread.consensus.disk import Disk
-from foxspread.consensus.file import Told
-from foxspread.consensus.messages import Foreign, Seat
-from foxspread.consensus.versions import TEXT_MOST, Conflict, Done, Misused, Put, Version
-from foxspread.consensus.wire import Link, Server
+from foxspread.consensus.configuration import CoordinatorConfig
+from foxspread.consensus.coordinator import Answer, Coordinator
+from foxspread.consensus.errors import ForeignMessageError, InvariantViolation
+from foxspread.consensus.messages import Envelope
+from foxspread.consensus.raft import Role
+from foxspread.consensus.records import MemberAddress
+from foxspread.consensus.storage import Storage
+from foxspread.consensus.transport import HttpReply, HttpServer, PeerConnection
 from foxspread.net import http
 
-WAIT_MOST = 30.0  # seconds that a watch may wait
-PAGE = 500  # versions in one answer of the history
-STATUS = {Status.DONE: 200, Status.ELSEWHERE: 421, Status.REFUSED: 400, Status.UNKNOWN: 504}
-ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
+DISK_ID_BITS = 64  # of randomness: ids must differ between disks
+MAX_PEERS = 32  # connections that a peer's messages may make this process open
+MAX_FOREIGN_REASONS = 100  # that are counted one by one
+MAX_REASON_CHARACTERS = 200
+TIMER_MARGIN_S = 0.0005  # event loops may wake a little early
+TRANSFER_POLL_S = 0.01
+UNKNOWN_ADDRESS = "127.0.0.1:1"  # nobody listens there: for a peer whose address is not known (yet)
+
 
+class CoordinatorProcess:
+    """The process of one coordinator.
 
-class Process:
-    """`check` looks at a content before it is proposed and raises `ConfigError`."""
+    `check_content` checks a version's content before it is proposed, and raises `ConfigError`.
+    """
 
-    disk_kind, host_kind = Disk, Coordinator
+    # Replaced by subclasses, and by the faulty ones of the lab.
+    storage_type, coordinator_type = Storage, Coordinator
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        told: Told,
-        check: Callable[[bytes], Any],
+        config: CoordinatorConfig,
+        check_content: Callable[[bytes], Any],
         clock: Clock | None = None,
     ) -> None:
-        self.loop, self.told, self.check, self.clock = loop, told, check, clock or Clock()
-        # identities must differ between disks; nothing is to be replayed here
-        chance = random.SystemRandom()
-        self.chance = chance.random
-        self.disk = self.disk_kind(told.folder, told.fleet, told.name, f"{chance.getrandbits(64):016x}")
-        saved = self.disk.open()
-        members = {} if told.joins else {each: Seat(at) for each, at in told.members.items()}
-        self.host = self.host_kind(
+        self.loop, self.config, self.check_content = loop, config, check_content
+        self.clock = clock or Clock()
+        system_random = random.SystemRandom()
+        self.random = system_random.random
+        self.storage = self._storage(f"{system_random.getrandbits(DISK_ID_BITS):016x}")
+        self.host = self._coordinator()
+        self.connections: dict[str, PeerConnection] = {}  # by node id
+        self.waiting: dict[int, asyncio.Future[Answer]] = {}  # calls, by token
+        self.last_token = 0
+        self.timer: asyncio.TimerHandle | None = None
+        self.foreign_messages: dict[str, int] = {}  # that were refused, by reason
+        self.received, self.logged_role, self.started = 0, "", self.clock()
+        self.server = HttpServer(loop, config.listen, self.handle)
+
+    def _storage(self, disk_id: str) -> Storage:
+        config = self.config
+        storage = self.storage_type(config.folder, config.fleet, config.name, disk_id)
+        storage.on_durable = lambda number: self.loop.call_soon_threadsafe(
+            self._input, self.host.confirmed, number
+        )
+        storage.on_failure = lambda reason: self.loop.call_soon_threadsafe(self._disk_failed, reason)
+        return storage
+
+    def _coordinator(self) -> Coordinator:
+        """The coordinator on what the folder holds. Raises `StorageError`."""
+        config = self.config
+        stored = self.storage.open()
+        first_members = {name: MemberAddress(at) for name, at in config.members.items()}
+        return self.coordinator_type(
             self.clock(),
-            told.name,
-            told.fleet,
-            saved,
-            members,
-            told.settings,
-            self.chance,
-            patience=told.patience,
-            **told.more,
+            config.name,
+            config.fleet,
+            stored,
+            {} if config.joins else first_members,
+            config.settings,
+            self.random,
+            answer_timeout_s=config.answer_timeout_s,
+            **config.host_options,
         )
-        self.disk.done = lambda number: loop.call_soon_threadsafe(self._input, self.host.confirmed, number)
-        self.disk.failed = lambda why: loop.call_soon_threadsafe(self._failed, why)
-        self.links: dict[str, Link] = {}
-        self.waiting: dict[int, asyncio.Future[Answer]] = {}
-        self.tokens = 0
-        self.timer: asyncio.TimerHandle | None = None
-        self.strangers: dict[str, int] = {}  # messages that were refused, by why
-        self.received, self.role, self.began = 0, "", self.clock()
-        self.server = Server(loop, told.listen, self.handle)
 
-    # The core
+    # Inputs and outputs of the coordinator
 
     def _input(self, call: Callable[..., None], *args: Any) -> None:
         try:
             call(self.clock(), *args)
-        except Contradiction as error:  # nothing more may be promised; what is known is still told
+        except InvariantViolation as error:  # it acknowledges nothing more, but still serves what it has
             logger.critical("{}", error)
             self.host.disk_failed(self.clock(), str(error))
-        self._drain()
-
-    def _failed(self, why: str) -> None:
-        logger.critical("the disk fails: {}; this coordinator votes no more", why)
-        self._input(self.host.disk_failed, why)
-
-    def _drain(self) -> None:
-        out: Out = self.host.take(self.clock())
-        for write in out.writes:
-            self.disk.put(write)
-        for envelope in out.messages:
-            self._link(envelope.to).put(messages.encoded(envelope))
-        for answer in out.answers:
+        self._execute_outputs()
+
+    def _disk_failed(self, reason: str) -> None:
+        logger.critical("the disk fails: {}; this coordinator votes no more", reason)
+        self._input(self.host.disk_failed, reason)
+
+    def _execute_outputs(self) -> None:
+        outputs = self.host.take(self.clock())
+        for write in outputs.writes:
+            self.storage.write(write)
+        for envelope in outputs.messages:
+            self._connection(envelope.recipient).send(wire.encode(envelope))
+        for answer in outputs.answers:
             future = self.waiting.pop(answer.token, None)
             if future is not None and not future.done():
                 future.set_result(answer)
-        if (role := f"{self.host.member.role.value} term={self.host.member.term}") != self.role:
-            self.role = role
-            logger.info("{} leader={} {}", role, self.host.member.leader or "-", self.host.member.barred)
+        self._log_role()
+        self._set_timer()
+
+    def _log_role(self) -> None:
+        raft = self.host.raft
+        role = f"{raft.role.value} term={raft.current_term}"
+        if role != self.logged_role:
+            self.logged_role = role
+            logger.info("{} leader={} {}", role, raft.leader_id or "-", raft.barred_reason)
+
+    def _set_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        wake = self.host.wake_at()
-        self.timer = (
-            None
-            if wake == float("inf")
-            else self.loop.call_later(max(0.0, wake - self.clock()) + 0.0005, self._input, self.host.tick)
+            self.timer = None
+        wake_at = self.host.wake_at()
+        if wake_at != float("inf"):
+            delay = max(0.0, wake_at - self.clock()) + TIMER_MARGIN_S
+            self.timer = self.loop.call_later(delay, self._input, self.host.tick)
+
+    def _connection(self, peer: str) -> PeerConnection:
+        """To a peer, at its configured address as seen from here, else at the committed one."""
+        member = self.host.raft.members.get(peer)
+        target = self.config.reach.get(peer) or (
+            member.address if member else self.config.members.get(peer, "")
         )
+        connection = self.connections.get(peer)
+        if connection is not None and (not target or str(connection.address) == target):
+            return connection
+        if connection is not None:
+            connection.close()
+        connection = PeerConnection(self.loop, peer, address(target or UNKNOWN_ADDRESS, peer), self.random)
+        self.connections[peer] = connection
+        return connection
+
+    # HTTP
 
-    def _link(self, to: str) -> Link:
-        """Connections to those that are members, or were named as such; the addresses of the agreed ones go
-        first."""
-        seat = self.host.member.members.get(to)
-        told = self.told.reach.get(to) or (seat.address if seat else self.told.members.get(to, ""))
-        link = self.links.get(to)
-        if link is None or told and str(link.address) != told:
-            if link is not None:
-                link.close()
-            link = self.links[to] = Link(self.loop, to, address(told or "127.0.0.1:1", to), self.chance)
-        return link
-
-    # Calls
-
-    async def handle(self, message: http.Message) -> tuple[int, bytes]:
-        path, _, _ = message.target.partition(b"?")
-        path = path.decode("latin-1")
+    async def handle(self, message: http.Message) -> HttpReply:
+        """Answers one request."""
+        raw_path, _, _ = message.target.partition(b"?")
+        path = raw_path.decode("latin-1")
         if path == "/peer" and message.method == b"POST":
-            return self._peer(bytes(message.body))
+            return self._receive(bytes(message.body))
         try:
             return await self._call(message, path)
         except (ConfigError, msgspec.DecodeError, ValueError) as error:
-            return told(400, status="refused", why=str(error))
+            return http_api.rejected_reply(400, str(error))
 
-    def _peer(self, body: bytes) -> tuple[int, bytes]:
+    def _receive(self, body: bytes) -> HttpReply:
+        """A message from a peer."""
         try:
-            envelope = messages.envelope(body, self.told.fleet, self.told.name)
-        except Foreign as error:
-            why = str(error)[:200]
-            if why in self.strangers or len(self.strangers) < 100:
-                if why not in self.strangers:
-                    logger.warning("refused: {}", why)
-                self.strangers[why] = self.strangers.get(why, 0) + 1
-            return 403, f"{why}\n".encode()
-        if (
-            ID.fullmatch(envelope.sender) is None
-            or envelope.sender not in self.links
-            and len(self.links) > 32
-        ):
+            envelope = wire.decode_for(body, self.config.fleet, self.config.name)
+        except ForeignMessageError as error:
+            return 403, f"{self._count_foreign(str(error))}\n".encode()
+        if not self._is_plausible(envelope):
             return 403, b"an id that can't be one\n"
         self.received += 1
-        if envelope.sender in self.links:
-            self.links[envelope.sender].hurry()
+        if envelope.sender in self.connections:
+            self.connections[envelope.sender].reconnect_now()
         self._input(self.host.receive, envelope)
         return 200, b""
 
-    async def _call(self, message: http.Message, path: str) -> tuple[int, bytes]:
+    def _is_plausible(self, envelope: Envelope) -> bool:
+        """Bounds what strangers can make this process remember."""
+        is_peer = envelope.sender in self.connections or len(self.connections) <= MAX_PEERS
+        return is_peer and http_api.IDENTIFIER.fullmatch(envelope.sender) is not None
+
+    def _count_foreign(self, error: str) -> str:
+        reason = error[:MAX_REASON_CHARACTERS]
+        is_new = reason not in self.foreign_messages
+        if not is_new or len(self.foreign_messages) < MAX_FOREIGN_REASONS:
+            if is_new:
+                logger.warning("refused: {}", reason)
+            self.foreign_messages[reason] = self.foreign_messages.get(reason, 0) + 1
+        return reason
+
+    async def _call(self, message: http.Message, path: str) -> HttpReply:
+        """A call of an operator or a sidecar; subclasses add theirs."""
         call = (message.method, path)
         if call == (b"GET", "/status"):
-            return told(200, **self.status())
+            return http_api.json_reply(200, **self.status())
         if call == (b"GET", "/history"):
-            return self._history(message)
+            return http_api.history_reply(message, self.host.versions)
         if call == (b"POST", "/rules"):
             return await self._put(message)
         if call == (b"GET", "/watch"):
-            known, wait = waits(message)
-            return self._answered(await self._ask(self.host.watch, known, wait), whole=True)
+            known, wait = http_api.watch_parameters(message)
+            return self._reply(await self._submit(self.host.watch, known, wait), with_content=True)
         if message.method == b"GET" and path.startswith("/rules"):
-            number = path.removeprefix("/rules").strip("/")
-            if number and not (number.isascii() and number.isdigit() and len(number) < 12):
-                raise ValueError(f"'{number[:40]}' is no version's number")
-            return self._answered(await self._ask(self.host.get, int(number or 0)), whole=True)
+            number = http_api.version_number(path)
+            return self._reply(await self._submit(self.host.get, number), with_content=True)
         if call == (b"POST", "/members"):
-            wish = msgspec.json.decode(message.body, type=dict[str, str | None])
-            if ID.fullmatch(name := wish.get("name") or "") is None:
-                raise ValueError(f"'name' must be an id, not {name[:60]!r}")
-            at = str(address(wish["address"], "address")) if wish.get("address") else None
-            return self._answered(await self._ask(self.host.change, name, at))
+            name, member_address = http_api.membership_request(message.body)
+            return self._reply(await self._submit(self.host.change_membership, name, member_address))
         if call == (b"POST", "/hand-over"):
-            to = msgspec.json.decode(message.body, type=dict[str, str]).get("to", "")
-            return self._answered(await self._ask(self.host.hand_over, to))
-        return told(
-            404, status="refused", why=f"no such call: {message.method.decode('latin-1')} {path[:60]}"
-        )
+            target = http_api.transfer_request(message.body)
+            return self._reply(await self._submit(self.host.transfer_leadership, target))
+        return http_api.rejected_reply(404, f"no such call: {message.method.decode('latin-1')} {path[:60]}")
 
-    async def _ask(self, call: Callable[..., None], *args: Any) -> Answer:
-        self.tokens += 1
-        token = self.tokens
+    async def _submit(self, call: Callable[..., None], *args: Any) -> Answer:
+        """Makes a call of the coordinator, and waits for its answer."""
+        self.last_token += 1
+        token = self.last_token
         future = self.waiting[token] = self.loop.create_future()
         try:
             self._input(lambda now: call(now, token, *args))
             return await future
         finally:
             self.waiting.pop(token, None)
-            self.host.left(token)
-
-    def look(self, content: bytes, wish: dict[str, Any]) -> None:
-        """A further look at a content that is sound, beside the latest version. Raises `ConfigError`."""
-
-    async def _put(self, message: http.Message) -> tuple[int, bytes]:
-        wish = msgspec.json.decode(message.body, type=dict[str, Any])
-        content = wish.get("content")
-        if not isinstance(content, str):
-            raise ValueError("'content' must be text")
-        request, expected = wish.get("request"), wish.get("if_version", -1)
-        if not isinstance(request, str) or ID.fullmatch(request) is None:
-            raise ValueError("'request' must be an id, drawn once for all tries of one put")
-        if not isinstance(expected, int) or isinstance(expected, bool):
-            raise ValueError("'if_version' must be a number")
-        texts = [wish.get(key, "") for key in ("who", "why")]
-        if not all(isinstance(each, str) and len(each) <= TEXT_MOST for each in texts):
-            raise ValueError(f"'who' and 'why' must be texts of at most {TEXT_MOST} characters")
-        refusals = wish.get("refusals", 0)
-        if not isinstance(refusals, int) or isinstance(refusals, bool) or not 0 <= refusals < 1 << 20:
-            raise ValueError("'refusals' must be a whole number from 0 on")
-        self.check(content.encode())
-        self.look(content.encode(), wish)
-        put = Put(request, content.encode(), expected, texts[0], texts[1], time.time(), refusals)
-        return self._answered(await self._ask(self.host.put, put), whole=False)
-
-    def _answered(self, answer: Answer, whole: bool = False) -> tuple[int, bytes]:
-        value, more = answer.value, {"leader": answer.leader, "coordinator": self.told.name}
-        leader = self.host.member.members.get(answer.leader)
-        if leader is not None:
-            more["leader_address"] = leader.address
-        if isinstance(value, Done):
-            return told(200, status="done", version=shown(value.version, whole), **more)
-        if isinstance(value, Conflict):
-            return told(
-                409,
-                status="conflict",
-                expected=value.expected,
-                latest=shown(value.latest, False) if value.latest else None,
-                **more,
-            )
-        if isinstance(value, Misused):
-            return told(
-                409,
-                status="refused",
-                why="this request's id has written another content",
-                version=shown(value.version, False),
-                **more,
-            )
-        if isinstance(value, Version):
-            return told(200, status="done", version=shown(value, whole), **more)
-        if answer.status is Status.DONE:
-            return told(200, status="done", version=None, **more)
-        return told(STATUS[answer.status], status=answer.status.name.lower(), why=str(value), **more)
-
-    def _history(self, message: http.Message) -> tuple[int, bytes]:
-        """Versions that this member has, the latest first; all that a member shows is agreed on."""
-        before = http.parameter(message.target, "before") or "0"
-        if not (before.isascii() and before.isdigit() and len(before) < 12):
-            raise ValueError(f"'before' must be a version's number, not {before[:40]!r}")
-        versions = self.host.versions
-        first = min(int(before) or versions.latest + 1, versions.latest + 1) - 1
-        found = [
-            versions.by_number[each]
-            for each in range(first, max(0, first - PAGE), -1)
-            if each in versions.by_number
-        ]
-        return told(200, status="done", versions=[shown(each, False) for each in found])
+            self.host.cancel(token)
+
+    async def _put(self, message: http.Message) -> HttpReply:
+        put, keys = http_api.put_request(message.body)
+        self.check_content(put.content)
+        self.check_against_latest(put.content, keys)
+        return self._reply(await self._submit(self.host.put, put))
+
+    def check_against_latest(self, content: bytes, keys: dict[str, Any]) -> None:
+        """For subclasses: a further check beside the latest version. Raises `ConfigError`."""
+
+    def _reply(self, answer: Answer, with_content: bool = False) -> HttpReply:
+        return http_api.answer_reply(answer, self.config.name, self.host.raft.members, with_content)
+
+    # Status
 
     def status(self) -> dict[str, Any]:
-        member, now = self.host.member, self.clock()
+        """What `coordinator status --json` shows; its keys are part of the interface."""
+        raft = self.host.raft
         return {
-            "fleet": self.told.fleet,
-            "name": self.told.name,
-            "role": member.role.value,
-            "term": member.term,
-            "leader": member.leader,
-            "why": member.barred,
-            "committed": member.committed,
-            "applied": member.applied,
-            "last": member.log.last,
-            "snapshot": member.snapshot.index,
+            "fleet": self.config.fleet,
+            "name": self.config.name,
+            "role": raft.role.value,
+            "term": raft.current_term,
+            "leader": raft.leader_id,
+            "why": raft.barred_reason,
+            "committed": raft.commit_index,
+            "applied": raft.last_applied,
+            "last": raft.log.last_index,
+            "snapshot": raft.snapshot.index,
             "version": self.host.versions.latest,
-            "members": {
-                each: {
-                    "address": seat.address,
-                    "votes": seat.voter,
-                    "up": each == self.told.name or each in self.links and self.links[each].up,
-                    "trouble": self.links[each].refusal if each in self.links else "",
-                }
-                for each, seat in member.members.items()
-            },
-            "up_for": round(now - self.began, 3),
+            "members": {name: self._member_status(name, member) for name, member in raft.members.items()},
+            "up_for": round(self.clock() - self.started, 3),
             "received": self.received,
-            "refused": dict(self.strangers),
-            "sent": sum(each.sent for each in self.links.values()),
-            "dropped": sum(each.dropped for each in self.links.values()),
-            "disk": {
-                "commits": self.disk.commits,
-                "records": self.disk.records,
-                "slowest": round(self.disk.slowest, 6),
-                "seconds": round(self.disk.seconds, 6),
-            },
+            "refused": dict(self.foreign_messages),
+            "sent": sum(each.sent for each in self.connections.values()),
+            "dropped": sum(each.dropped for each in self.connections.values()),
+            "disk": self._storage_status(),
             "waiting": len(self.host.calls),
-            "connections": len(self.server.talks),
+            "connections": len(self.server.connections),
         }
 
+    def _member_status(self, name: str, member: MemberAddress) -> dict[str, Any]:
+        connection = self.connections.get(name)
+        return {
+            "address": member.address,
+            "votes": member.voter,
+            "up": name == self.config.name or connection is not None and connection.connected,
+            "trouble": connection.last_error if connection is not None else "",
+        }
+
+    def _storage_status(self) -> dict[str, Any]:
+        return {
+            "commits": self.storage.commits,
+            "records": self.storage.records,
+            "slowest": round(self.storage.slowest_seconds, 6),
+            "seconds": round(self.storage.total_seconds, 6),
+        }
+
+    # Life cycle
+
     async def run(self, stop: asyncio.Event) -> None:
+        """Runs until `stop` is set; a leader then transfers leadership first."""
         logger.info(
             "coordinator {} of {} listen={} folder={}",
-            self.told.name,
-            self.told.fleet,
+            self.config.name,
+            self.config.fleet,
             self.server.address,
-            self.told.folder,
+            self.config.folder,
         )
         self._input(self.host.tick)
         await stop.wait()
-        await self._hand_over()
+        await self._transfer_before_end()
         self.server.close()
-        for link in self.links.values():
-            link.close()
+        for connection in self.connections.values():
+            connection.close()
         if self.timer is not None:
             self.timer.cancel()
-        await self.loop.run_in_executor(None, self.disk.close)
+        await self.loop.run_in_executor(None, self.storage.close)
 
-    async def _hand_over(self) -> None:
-        """A leader that ends gives its place to the one that has most, rather than let the others find
-        out."""
-        member = self.host.member
-        if to := member.heir():
+    async def _transfer_before_end(self) -> None:
+        """Saves the others the election timeout after which they would notice."""
+        raft = self.host.raft
+        if target := raft.best_successor():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(2 * self.told.settings.election):
-                    await self._ask(self.host.hand_over, to)
-                    while member.role is Role.LEADER:
-                        await asyncio.sleep(0.01)
-
-
-def waits(message: http.Message) -> tuple[int, float]:
-    """What a watch knows already, and for how long it waits. Raises ValueError."""
-    known, wait = (http.parameter(message.target, each) or "0" for each in ("known", "wait"))
-    if not (known.isascii() and known.isdigit() and len(known) < 12 and wait.isascii() and wait.isdigit()):
-        raise ValueError(f"'known' and 'wait' must be whole numbers, not {known[:20]!r}, {wait[:20]!r}")
-    return int(known), min(float(wait), WAIT_MOST)
-
-
-def told(code: int, **values: Any) -> tuple[int, bytes]:
-    return code, json.dumps(values).encode() + b"\n"
-
-
-def shown(version: Version, whole: bool) -> dict[str, Any]:
-    found = {
-        "number": version.number,
-        "digest": version.digest,
-        "follows": version.follows,
-        "who": version.who,
-        "why": version.why,
-        "at": version.at,
-        "request": version.request,
-        "size": len(version.content),
-    }
-    return found | {"content": version.content.decode(errors="replace")} if whole else found
+                async with asyncio.timeout(2 * self.config.settings.election_timeout_s):
+                    await self._submit(self.host.transfer_leadership, target)
+                    while raft.role is Role.LEADER:
+                        await asyncio.sleep(TRANSFER_POLL_S)
--- /dev/null
+++ b/foxspread/consensus/raft/replication.py
@@ -0,0 +1,232 @@
+"""Log replication and commitment ([R] 5.3, 5.4.2).
+
+A leader has at most one message with entries in flight to each follower: what is proposed meanwhile goes
+together in the next one. Heartbeats carry entries too where nothing is in flight, and go out whether
+something is or not.
+"""
+
+from foxspread.consensus.errors import InvariantViolation, RequestRejected
+from foxspread.consensus.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    InstallSnapshotReply,
+)
+from foxspread.consensus.raft.roles import Role
+from foxspread.consensus.raft.state import Progress, RaftState, majority
+from foxspread.consensus.records import LogEntry
+
+RESEND_AFTER_HEARTBEATS = 4  # entries that are not acknowledged for so many intervals are taken as lost
+
+
+class LogReplication(RaftState):
+    """Appends, sends, acknowledges and commits entries."""
+
+    # The leader's log
+
+    def propose(self, now: float, body: bytes) -> tuple[int, int]:
+        """Index and term of a new entry; it is committed once `take` returns it with that term.
+
+        Raises `RequestRejected`.
+        """
+        self._advance_clock(now)
+        self._require_accepting_leader()
+        return self._append_as_leader(LogEntry(self.current_term, body)), self.current_term
+
+    def _require_accepting_leader(self) -> None:
+        if self.role is not Role.LEADER:
+            raise RequestRejected("it does not lead")
+        if self.transfer:
+            raise RequestRejected(f"it hands over to {self.transfer.target}")
+        uncommitted = self.log.last_index - self.commit_index
+        if uncommitted >= self.settings.max_uncommitted_entries:
+            raise RequestRejected(f"{uncommitted} entries wait already")
+
+    def _append_as_leader(self, entry: LogEntry) -> int:
+        self.log.append(entry)
+        if entry.members is not None:
+            self.members, self.members_index = entry.members, self.log.last_index
+            self._track_peers()
+        self._persist(self.log.last_index, [entry])
+        for peer in self.progress:
+            self._replicate_to(peer)
+        return self.log.last_index
+
+    def _track_peers(self) -> None:
+        """Keeps the progress of the present peers, and begins that of new ones."""
+        self.progress = {
+            peer: self.progress.get(peer) or Progress(self.log.last_index + 1, last_reply_at=self.now)
+            for peer in self._peers()
+        }
+
+    # Sending
+
+    def _broadcast_heartbeat(self) -> None:
+        self.heartbeat_due = self.now + self.settings.heartbeat_interval_s
+        if self.transfer and self.now >= self.transfer.deadline:
+            self.transfer = None  # the target didn't take over in time
+        for peer in self.progress:
+            self._replicate_to(peer, heartbeat=True)
+
+    def _replicate_to(self, peer: str, heartbeat: bool = False) -> None:
+        """Sends what the peer lacks, if nothing is in flight to it; a heartbeat is sent in any case."""
+        progress = self.progress[peer]
+        self._give_up_lost_message(progress)
+        if progress.next_index <= self.log.base:
+            if progress.in_flight_since is None or heartbeat:
+                self._send_snapshot_chunk(peer, progress)
+            return
+        prev_index = progress.next_index - 1
+        entries: list[LogEntry] = []
+        if progress.in_flight_since is None:
+            entries = self.log.entries_after(prev_index, self.settings.batch_bytes)
+        if entries:
+            progress.in_flight_since = self.now
+            progress.next_index += len(entries)
+        elif heartbeat:  # the earliest place at which the logs may still differ
+            prev_index = min(prev_index, max(progress.match_index, self.log.base))
+        else:
+            return
+        self._send_entries(peer, prev_index, entries, heartbeat)
+
+    def _give_up_lost_message(self, progress: Progress) -> None:
+        patience = RESEND_AFTER_HEARTBEATS * self.settings.heartbeat_interval_s
+        if progress.in_flight_since is not None and self.now - progress.in_flight_since > patience:
+            progress.in_flight_since, progress.next_index = None, progress.match_index + 1
+
+    def _send_entries(self, peer: str, prev_index: int, entries: list[LogEntry], heartbeat: bool) -> None:
+        self._send(
+            peer,
+            AppendEntries(
+                self.current_term,
+                prev_index,
+                self.log.term(prev_index),
+                entries,
+                self.commit_index,
+                self.heartbeat_round,
+                self.members[peer].added_at,
+                self.progress[peer].disk_id,
+                dict(self.observed_storage) if heartbeat else {},
+            ),
+        )
+
+    # Followers
+
+    def _handle_append_entries(self, sender: str, message: AppendEntries) -> None:
+        if message.term < self.current_term:
+            return self._reply_to_append(sender, message, False, 0)
+        if self.role is Role.LEADER:
+            raise InvariantViolation(f"{self.node_id} and {sender} both lead term {self.current_term}")
+        self._become_follower(message.term, sender)
+        self._learn_own_membership(message)
+        self._merge_observed_storage(message.observed_storage)
+        prev_index, entries = message.prev_log_index, message.entries
+        if prev_index < self.log.base:  # what the snapshot replaces is committed, so it is the same
+            entries, prev_index = entries[self.log.base - prev_index :], self.log.base
+        elif self.log.term(prev_index) != message.prev_log_term:
+            return self._reply_to_append(sender, message, False, self._retry_index(prev_index))
+        self._store_entries(sender, prev_index, entries)
+        last_index = prev_index + len(entries)
+        self._advance_commit_index(min(message.leader_commit, last_index))
+        self._reply_to_append(sender, message, True, last_index)
+
+    def _reply_to_append(self, sender: str, message: AppendEntries, success: bool, index: int) -> None:
+        reply = AppendEntriesReply(self.current_term, success, index, message.heartbeat_round)
+        self._send_when_durable(sender, reply)
+
+    def _store_entries(self, sender: str, prev_index: int, entries: list[LogEntry]) -> None:
+        """Replaces the log from the first entry that differs; a late message must not cut off later ones."""
+        for index, entry in enumerate(entries, prev_index + 1):
+            if self.log.term(index) == entry.term:
+                continue
+            if index <= self.commit_index:
+                raise InvariantViolation(
+                    f"{self.node_id}: entry {index} is committed, and {sender} has another"
+                )
+            new_entries = entries[index - prev_index - 1 :]
+            self.log.replace_from(index, new_entries)
+            self.members, self.members_index = self._members_at()
+            self._persist(index, new_entries)
+            return
+
+    def _retry_index(self, prev_index: int) -> int:
+        """What the leader should try next: before all entries of the term that didn't match ([R] 5.3)."""
+        if prev_index > self.log.last_index:
+            return self.log.last_index
+        term, index = self.log.term(prev_index), prev_index
+        while index > max(self.commit_index, self.log.base) and self.log.term(index) == term:
+            index -= 1
+        return index
+
+    # Replies
+
+    def _handle_replication_reply(
+        self, sender: str, message: AppendEntriesReply | InstallSnapshotReply
+    ) -> None:
+        progress = self.progress[sender]
+        progress.last_reply_at = self.now
+        progress.acked_round = max(progress.acked_round, message.heartbeat_round)
+        if isinstance(message, InstallSnapshotReply):
+            self._record_snapshot_offset(progress, message)
+        elif message.success:
+            self._record_match(progress, message.index)
+            self._advance_commit_by_majority()
+            self._promote_caught_up_learner(sender, progress)
+        elif message.index >= progress.match_index:  # else it is an older reply that came late
+            progress.next_index = min(progress.next_index, message.index + 1)
+            progress.in_flight_since = None
+        self._answer_confirmed_reads()
+        if self.role is Role.LEADER and sender in self.progress:
+            self._replicate_to(sender)
+            self._send_timeout_now_if_caught_up(sender)
+
+    @staticmethod
+    def _record_snapshot_offset(progress: Progress, message: InstallSnapshotReply) -> None:
+        is_next_chunk = (
+            message.last_included_index == progress.snapshot_index
+            and message.offset > progress.snapshot_offset
+        )
+        if is_next_chunk or message.offset == 0:
+            progress.snapshot_offset, progress.in_flight_since = message.offset, None
+
+    @staticmethod
+    def _record_match(progress: Progress, index: int) -> None:
+        progress.match_index = max(progress.match_index, index)
+        progress.next_index = max(progress.next_index, progress.match_index + 1)
+        if progress.match_index >= progress.next_index - 1:
+            progress.in_flight_since = None
+        elif progress.in_flight_since is None:  # nothing is under way, yet it lacks entries: it has joined
+            progress.next_index = progress.match_index + 1
+
+    # Commitment
+
+    def _advance_commit_by_majority(self) -> None:
+        match_indexes = sorted(
+            (
+                self.durable_index if node_id == self.node_id else self.progress[node_id].match_index
+                for node_id in self.members
+                if self._is_voter(node_id)
+            ),
+            reverse=True,
+        )
+        index = match_indexes[self._commit_quorum() - 1]
+        if index <= self.commit_index or not self._may_commit_by_counting(index):
+            return
+        self._advance_commit_index(index)
+        if self.members_index <= self.commit_index and self.node_id not in self.members:
+            self._step_down()  # it was removed; the others elect a leader
+            return
+        self._answer_confirmed_reads()
+
+    def _commit_quorum(self) -> int:
+        return majority(self.members)
+
+    def _may_commit_by_counting(self, index: int) -> bool:
+        """[R] 5.4.2: an entry of an older term is committed only by a later one of the leader's own term."""
+        return self.log.term(index) == self.current_term
+
+    def _advance_commit_index(self, index: int) -> None:
+        if index <= self.commit_index:
+            return
+        before, self.commit_index = self.commit_index, index
+        if before < self.members_index <= index:
+            self._retire_removed_disks()
--- /dev/null
+++ b/foxspread/consensus/raft/state.py
@@ -0,0 +1,353 @@
+"""The state of one Raft node, shared by all concerns of this package ([R] figure 2).
+
+Plain typed fields, so that a simulation can copy and compare them. Times are seconds of a clock that never
+goes back; the node reads no clock itself. The methods at the end are those by which one concern calls
+another.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from foxspread.consensus.messages import (
+    ENTRIES_BATCH_BYTES,
+    AppendEntries,
+    Envelope,
+    InstallSnapshot,
+    Message,
+)
+from foxspread.consensus.raft.log import RaftLog
+from foxspread.consensus.raft.roles import Role
+from foxspread.consensus.records import (
+    LogEntry,
+    Members,
+    ObservedStorage,
+    Snapshot,
+    StorageIdentity,
+    StorageWrite,
+)
+
+NEVER_S = -1e9  # a time before all times of the clock
+NO_MEMBERSHIP = -1  # `member_added_at` of a disk that doesn't know its membership yet
+
+
+@dataclass(frozen=True)
+class RaftSettings:
+    """Timing and bounds of a node.
+
+    heartbeat_interval_s: between a leader's heartbeats.
+    election_timeout_s: an election starts between one and two of these after a leader was last heard.
+    max_uncommitted_entries: further proposals are rejected.
+    batch_bytes: entries in one message, unless one alone is larger.
+    """
+
+    heartbeat_interval_s: float = 0.06
+    election_timeout_s: float = 0.3
+    max_uncommitted_entries: int = 512
+    batch_bytes: int = ENTRIES_BATCH_BYTES
+
+
+@dataclass
+class Progress:
+    """What a leader knows of one peer.
+
+    next_index, match_index: as in [R] figure 2.
+    last_reply_at: when it last replied in this term.
+    acked_round: the latest heartbeat round that it replied to.
+    in_flight_since: when the entries or the chunk that it has not acknowledged were sent; None: nothing is.
+    snapshot_offset, snapshot_index: bytes that it has of the snapshot at that index.
+    disk_id: of its disk, as it last showed it.
+    """
+
+    next_index: int
+    match_index: int = 0
+    last_reply_at: float = 0.0
+    acked_round: int = 0
+    in_flight_since: float | None = None
+    snapshot_offset: int = 0
+    snapshot_index: int = 0
+    disk_id: str = ""
+
+
+@dataclass
+class PendingRead:
+    """A linearizable read that waits for a majority to confirm the leader ([T] 6.4).
+
+    requester: node id and incarnation of the follower that asked; None: this node's own host.
+    read_index: what must be applied first; None before an entry of this term is committed.
+    required_round: the heartbeat round that a majority must have replied to; 0: not sent yet.
+    """
+
+    token: int
+    requester: tuple[str, str] | None = None
+    read_index: int | None = None
+    required_round: int = 0
+
+
+class IndexedRead(NamedTuple):
+    """A read of this follower's host, which may be answered once `read_index` is applied."""
+
+    token: int
+    read_index: int
+
+
+class ReadResult(NamedTuple):
+    """A read that is over. `confirmed`: False where the leader can't be sure any more that it leads."""
+
+    token: int
+    confirmed: bool
+
+
+class AppliedEntry(NamedTuple):
+    """A committed entry, for the state machine."""
+
+    index: int
+    entry: LogEntry
+
+
+class ReceivedHostMessage(NamedTuple):
+    """A `HostMessage` from the host of another node."""
+
+    sender: str
+    body: bytes
+
+
+class DelayedMessage(NamedTuple):
+    """A message that may leave only when the write with this number is durable."""
+
+    after_write: int
+    recipient: str
+    message: Message
+
+
+class LeadershipTransfer(NamedTuple):
+    """A transfer under way ([T] 3.10); the leader goes on after `deadline`."""
+
+    target: str
+    deadline: float
+
+
+@dataclass
+class PendingWrite:
+    """A write that is not durable yet, and the last index of the log that it makes durable."""
+
+    number: int
+    last_index: int
+
+
+@dataclass
+class IncomingSnapshot:
+    """A snapshot that arrives in chunks."""
+
+    index: int
+    term: int
+    data: bytearray = field(default_factory=bytearray)
+
+
+@dataclass
+class Ready:
+    """What the host has to do now.
+
+    messages: to send at once, in any order; all that they rest on is durable.
+    writes: to make durable, in this order.
+    restored: a snapshot to load before `entries` are applied.
+    entries: committed, to apply in this order.
+    host_messages: from other nodes' hosts.
+    reads: whose requirements are met.
+    """
+
+    messages: list[Envelope] = field(default_factory=list)
+    writes: list[StorageWrite] = field(default_factory=list)
+    restored: Snapshot | None = None
+    entries: list[AppliedEntry] = field(default_factory=list)
+    host_messages: list[ReceivedHostMessage] = field(default_factory=list)
+    reads: list[ReadResult] = field(default_factory=list)
+
+    def __bool__(self) -> bool:
+        return bool(
+            self.messages or self.writes or self.restored or self.entries or self.host_messages or self.reads
+        )
+
+
+@dataclass(eq=False)
+class RaftState:
+    """All fields of a node, in the order: given, persistent, volatile, leader's, reads, elections."""
+
+    now: float  # the latest time that the host told
+    node_id: str
+    fleet: str  # id of the cluster
+    settings: RaftSettings
+    random: Callable[[], float]  # from 0 to 1, below 1; handed in so that a simulation can replay it
+    incarnation: str  # drawn for this run of the process
+
+    # Persistent: each change is followed by a write ([R] figure 2, and `records.StorageWrite`).
+    disk_id: str
+    generation: int
+    writes_at_start: int
+    current_term: int
+    voted_for: str
+    observed_storage: dict[str, ObservedStorage]
+    removed_disks: dict[str, str]
+    barred_reason: str
+    member_added_at: int
+    snapshot: Snapshot
+    log: RaftLog
+
+    # Volatile.
+    commit_index: int
+    last_applied: int
+    durable_index: int  # last index of the log that is on disk
+    role: Role
+    election_deadline: float  # also: when a starting node asks its peers again
+    members: Members = field(default_factory=dict)  # as of the latest entry that names some
+    members_index: int = 0  # index of that entry
+    leader_id: str = ""
+    leader_heard_at: float = NEVER_S
+    incoming_snapshot: IncomingSnapshot | None = None
+    storage_confirmed_by: set[str] = field(default_factory=set)  # peers that know of no later write
+    ready: Ready = field(default_factory=Ready)
+
+    # Writes and the messages that wait for them.
+    last_write: int = 0
+    confirmed_write: int = 0
+    pending_writes: list[PendingWrite] = field(default_factory=list)
+    delayed_messages: list[DelayedMessage] = field(default_factory=list)
+
+    # Elections.
+    votes_received: set[str] = field(default_factory=set)
+    own_vote_write: int = 0  # the write that holds the candidate's vote for itself
+
+    # The leader's.
+    progress: dict[str, Progress] = field(default_factory=dict)
+    heartbeat_due: float = 0.0
+    heartbeat_round: int = 0
+    read_round_due: bool = False  # a read waits for a heartbeat round that has not been sent
+    first_index_of_term: int = 0  # index of the no-op that the leader began its term with
+    transfer: LeadershipTransfer | None = None
+
+    # Reads.
+    pending_reads: list[PendingRead] = field(default_factory=list)  # the leader's
+    forwarded_reads: set[int] = field(default_factory=set)  # tokens that the leader was asked for
+    indexed_reads: list[IndexedRead] = field(default_factory=list)  # the leader has named their index
+
+    def storage_identity(self) -> StorageIdentity:
+        """What this node's disk shows of itself at present."""
+        return StorageIdentity(
+            self.disk_id,
+            self.generation,
+            self.incarnation,
+            self.writes_at_start,
+            self.writes_at_start + self.confirmed_write,
+            self.member_added_at,
+        )
+
+    def _advance_clock(self, now: float) -> None:
+        self.now = max(self.now, now)
+
+    # Offered by `persistence`.
+
+    def _persist(
+        self,
+        first_index: int = 0,
+        entries: list[LogEntry] | None = None,
+        snapshot: Snapshot | None = None,
+        keep_log_suffix: bool = True,
+    ) -> None:
+        raise NotImplementedError
+
+    def _send(self, recipient: str, message: Message) -> None:
+        raise NotImplementedError
+
+    def _send_when_durable(self, recipient: str, message: Message) -> None:
+        raise NotImplementedError
+
+    def _bar(self, reason: str, persist: bool = True) -> None:
+        raise NotImplementedError
+
+    # Offered by `election`.
+
+    def _transition_to(self, role: Role) -> None:
+        raise NotImplementedError
+
+    def _become_follower(self, term: int, leader_id: str = "") -> None:
+        raise NotImplementedError
+
+    def _reset_election_timer(self) -> None:
+        raise NotImplementedError
+
+    def _step_down(self) -> None:
+        raise NotImplementedError
+
+    def _start_election(self, leadership_transfer: bool = False) -> None:
+        raise NotImplementedError
+
+    def _become_leader_if_elected(self) -> None:
+        raise NotImplementedError
+
+    # Offered by `membership`.
+
+    def _is_voter(self, node_id: str) -> bool:
+        raise NotImplementedError
+
+    def _peers(self) -> list[str]:
+        raise NotImplementedError
+
+    def _members_at(self, last_index: int | None = None) -> tuple[Members, int]:
+        raise NotImplementedError
+
+    def _learn_own_membership(self, message: AppendEntries | InstallSnapshot) -> None:
+        raise NotImplementedError
+
+    def _promote_caught_up_learner(self, node_id: str, progress: Progress) -> None:
+        raise NotImplementedError
+
+    def _retire_removed_disks(self) -> None:
+        raise NotImplementedError
+
+    # Offered by `replication`.
+
+    def _append_as_leader(self, entry: LogEntry) -> int:
+        raise NotImplementedError
+
+    def _track_peers(self) -> None:
+        raise NotImplementedError
+
+    def _broadcast_heartbeat(self) -> None:
+        raise NotImplementedError
+
+    def _replicate_to(self, peer: str, heartbeat: bool = False) -> None:
+        raise NotImplementedError
+
+    def _advance_commit_by_majority(self) -> None:
+        raise NotImplementedError
+
+    def _require_accepting_leader(self) -> None:
+        raise NotImplementedError
+
+    # Offered by `snapshots`.
+
+    def _send_snapshot_chunk(self, peer: str, progress: Progress) -> None:
+        raise NotImplementedError
+
+    # Offered by `reads`.
+
+    def _reject_pending_reads(self) -> None:
+        raise NotImplementedError
+
+    def _answer_confirmed_reads(self) -> None:
+        raise NotImplementedError
+
+    # Offered by `transfer`.
+
+    def _send_timeout_now_if_caught_up(self, peer: str) -> None:
+        raise NotImplementedError
+
+    # Offered by `storage_check`.
+
+    def _merge_observed_storage(self, observed: dict[str, ObservedStorage]) -> None:
+        raise NotImplementedError
+
+
+def majority(members: Members) -> int:
+    """How many voters are a majority of them."""
+    return sum(member.voter for member in members.values()) // 2 + 1
--- /dev/null
+++ b/foxspread/consensus/storage.py
@@ -0,0 +1,268 @@
+"""The durable state of a coordinator: term, vote, log, snapshot and the disk's identity, in SQLite.
+
+WAL mode with synchronous=FULL: a commit returns after fsync. One thread makes all writes, and commits those
+that have gathered in one transaction, so the event loop never waits for the disk. A write that failed is
+never retried nor taken as durable, since after a failed fsync the state of the file is unknown. One process
+at a time holds the folder. A folder of another format, cluster or member, or a damaged one, is refused at
+the start and left as it is.
+"""
+
+import os
+import pathlib
+import queue
+import sqlite3
+import threading
+import time
+from collections.abc import Callable
+
+import msgspec
+
+from foxspread.consensus.errors import StorageCorruptedError, StorageError
+from foxspread.consensus.records import (
+    LogEntry,
+    Members,
+    ObservedStorage,
+    Snapshot,
+    StorageWrite,
+    StoredState,
+)
+from foxspread.consensus.wire import FORMAT, encode
+
+FILE = "coordinator.sqlite"
+MAX_WRITES_PER_COMMIT = 256  # bounds the time until the first of them is confirmed
+CLOSE_TIMEOUT_S = 5.0  # for the last commit at the end of the process
+
+# The schema and the keys of `state` are the format on disk: they keep their spelling.
+SCHEMA = """
+CREATE TABLE state (key TEXT PRIMARY KEY, value BLOB NOT NULL);
+CREATE TABLE log (place INTEGER PRIMARY KEY, entry BLOB NOT NULL);
+"""
+KEY_FORMAT = "format"
+KEY_FLEET = "fleet"
+KEY_MEMBER = "member"
+KEY_DISK_ID = "identity"
+KEY_GENERATION = "generation"
+KEY_WRITES = "count"
+KEY_TERM = "term"
+KEY_VOTED_FOR = "vote"
+KEY_BARRED_REASON = "barred"
+KEY_MEMBER_ADDED_AT = "seat"
+KEY_OBSERVED_STORAGE = "known"
+KEY_REMOVED_DISKS = "retired"
+KEY_SNAPSHOT = "snapshot"
+
+
+class Storage:
+    """The folder of one coordinator. `on_durable` and `on_failure` are called in the disk's thread."""
+
+    def __init__(self, folder: str, fleet: str, member: str, disk_id: str) -> None:
+        """`disk_id`: for a folder that is empty; one that is not keeps its own."""
+        self.folder, self.fleet, self.member, self.disk_id = pathlib.Path(folder), fleet, member, disk_id
+        self.on_durable: Callable[[int], None] = lambda number: None
+        self.on_failure: Callable[[str], None] = lambda reason: None
+        self.database: sqlite3.Connection | None = None
+        self.writes: queue.SimpleQueue[StorageWrite | None] = queue.SimpleQueue()
+        self.thread = threading.Thread(target=self._run, name="disk", daemon=True)
+        self.commits, self.records = 0, 0
+        self.total_seconds, self.slowest_seconds = 0.0, 0.0  # of commits
+        self.snapshot_index = 0
+
+    # Start
+
+    def open(self) -> StoredState:
+        """What the folder holds, with this start counted. Raises `StorageError`, and changes nothing."""
+        try:
+            self.folder.mkdir(parents=True, exist_ok=True)
+            self._connect()
+            stored = self._load()
+        except StorageError:
+            self._release()
+            raise
+        except sqlite3.OperationalError as error:
+            self._release()
+            reason = "another process uses it" if "locked" in str(error) else str(error)
+            raise StorageError(f"{self.folder}: {reason}") from None
+        except OSError as error:
+            self._release()
+            raise StorageError(f"{self.folder}: {error}") from None
+        except (sqlite3.DatabaseError, msgspec.DecodeError) as error:
+            self._release()
+            raise StorageCorruptedError(f"{self.folder}: {error}") from None
+        self._sync_folder()
+        self.snapshot_index = stored.snapshot.index
+        self.thread.start()
+        return stored
+
+    def _connect(self) -> None:
+        self.database = sqlite3.connect(
+            self.folder / FILE, timeout=0.0, isolation_level=None, check_same_thread=False
+        )
+        self.database.execute("PRAGMA locking_mode=EXCLUSIVE")  # two processes on one folder would both vote
+        self.database.execute("PRAGMA journal_mode=WAL")
+        self.database.execute("PRAGMA synchronous=FULL")
+
+    def _load(self) -> StoredState:
+        self.database.execute("BEGIN EXCLUSIVE")
+        if not self.database.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]:
+            self._initialize()
+        stored = self._read()
+        self._set({KEY_GENERATION: stored.generation})
+        self.database.execute("COMMIT")
+        return stored
+
+    def _initialize(self) -> None:
+        for statement in SCHEMA.split(";")[:-1]:
+            self.database.execute(statement)
+        empty = StoredState(self.disk_id, 0)
+        self._set(
+            {
+                KEY_FORMAT: FORMAT,
+                KEY_FLEET: self.fleet,
+                KEY_MEMBER: self.member,
+                KEY_DISK_ID: empty.disk_id,
+                KEY_GENERATION: empty.generation,
+                KEY_WRITES: empty.writes,
+                KEY_TERM: empty.term,
+                KEY_VOTED_FOR: empty.voted_for,
+                KEY_BARRED_REASON: empty.barred_reason,
+                KEY_MEMBER_ADDED_AT: empty.member_added_at,
+                KEY_OBSERVED_STORAGE: empty.observed_storage,
+                KEY_REMOVED_DISKS: empty.removed_disks,
+                KEY_SNAPSHOT: empty.snapshot,
+            }
+        )
+
+    def _release(self) -> None:
+        """Rolls back what was begun: the folder is as it was, and free for another process."""
+        if self.database is not None:
+            self.database.close()
+
+    def _sync_folder(self) -> None:
+        """Makes the names of new files durable; SQLite syncs their content only."""
+        descriptor = os.open(self.folder, os.O_RDONLY)
+        try:
+            os.fsync(descriptor)
+        finally:
+            os.close(descriptor)
+
+    def _set(self, values: dict[str, object]) -> None:
+        self.database.executemany(
+            "REPLACE INTO state VALUES (?, ?)", [(key, encode(value)) for key, value in values.items()]
+        )
+
+    def _get(self, key: str, kind: type) -> object:
+        row = self.database.execute("SELECT value FROM state WHERE key = ?", (key,)).fetchone()
+        if row is None:
+            raise StorageCorruptedError(f"{self.folder}: {key} is missing")
+        return msgspec.msgpack.decode(row[0], type=kind)
+
+    def _read(self) -> StoredState:
+        for key, expected in ((KEY_FORMAT, FORMAT), (KEY_FLEET, self.fleet), (KEY_MEMBER, self.member)):
+            if (actual := self._get(key, type(expected))) != expected:
+                raise StorageError(f"{self.folder}: its {key} is {actual!r}, not {expected!r}")
+        snapshot = self._get(KEY_SNAPSHOT, Snapshot)
+        return StoredState(
+            self._get(KEY_DISK_ID, str),
+            self._get(KEY_GENERATION, int) + 1,
+            self._get(KEY_WRITES, int),
+            self._get(KEY_TERM, int),
+            self._get(KEY_VOTED_FOR, str),
+            self._get(KEY_OBSERVED_STORAGE, dict[str, ObservedStorage]),
+            self._get(KEY_REMOVED_DISKS, dict[str, str]),
+            self._get(KEY_BARRED_REASON, str),
+            self._get(KEY_MEMBER_ADDED_AT, int),
+            snapshot,
+            self._read_entries(snapshot.index + 1),
+        )
+
+    def _read_entries(self, first_index: int) -> list[LogEntry]:
+        rows = self.database.execute("SELECT place, entry FROM log ORDER BY place").fetchall()
+        if [index for index, _ in rows] != list(range(first_index, first_index + len(rows))):
+            raise StorageCorruptedError(f"{self.folder}: its log has a hole")
+        return [msgspec.msgpack.decode(entry, type=LogEntry) for _, entry in rows]
+
+    # Writes
+
+    def write(self, write: StorageWrite) -> None:
+        """Queues a write; returns at once."""
+        self.writes.put(write)
+
+    def _run(self) -> None:
+        while (write := self.writes.get()) is not None:
+            group = [write]
+            while not self.writes.empty() and len(group) < MAX_WRITES_PER_COMMIT:
+                group.append(self.writes.get())
+            closing = group[-1] is None
+            try:
+                self.commit([each for each in group if each is not None])
+            except (sqlite3.Error, OSError) as error:
+                self.on_failure(str(error))
+                return
+            if closing:
+                break
+        self.database.close()
+
+    def commit(self, group: list[StorageWrite]) -> None:
+        """Makes writes durable in one transaction, and reports the last one's number."""
+        if not group:
+            return
+        started = time.monotonic()
+        self.database.execute("BEGIN")
+        for write in group:
+            self._write_log(write)
+        self._write_state(group[-1], len(group))
+        self.sync()
+        elapsed = time.monotonic() - started
+        self.commits, self.records = self.commits + 1, self.records + len(group)
+        self.total_seconds, self.slowest_seconds = (
+            self.total_seconds + elapsed,
+            max(self.slowest_seconds, elapsed),
+        )
+        self.on_durable(group[-1].number)
+
+    def _write_log(self, write: StorageWrite) -> None:
+        if write.snapshot is not None:
+            self.snapshot_index = write.snapshot.index
+            self._set({KEY_SNAPSHOT: write.snapshot})
+            if write.keep_log_suffix:
+                self.database.execute("DELETE FROM log WHERE place <= ?", (self.snapshot_index,))
+            else:
+                self.database.execute("DELETE FROM log")
+        if write.first_index:
+            self.database.execute("DELETE FROM log WHERE place >= ?", (write.first_index,))
+            self.database.executemany(
+                "INSERT INTO log VALUES (?, ?)",
+                [(index, encode(entry)) for index, entry in enumerate(write.entries, write.first_index)],
+            )
+
+    def _write_state(self, last: StorageWrite, count: int) -> None:
+        """Each write holds the whole state, so that of the last one stands for all."""
+        self._set(
+            {
+                KEY_TERM: last.term,
+                KEY_VOTED_FOR: last.voted_for,
+                KEY_OBSERVED_STORAGE: last.observed_storage,
+                KEY_REMOVED_DISKS: last.removed_disks,
+                KEY_BARRED_REASON: last.barred_reason,
+                KEY_MEMBER_ADDED_AT: last.member_added_at,
+                KEY_WRITES: self._get(KEY_WRITES, int) + count,
+            }
+        )
+
+    def sync(self) -> None:
+        """Commits; with synchronous=FULL it returns after the fsync."""
+        self.database.execute("COMMIT")
+
+    def close(self) -> None:
+        """Makes durable what is queued, then closes the folder."""
+        self.writes.put(None)
+        if self.thread.is_alive():
+            self.thread.join(CLOSE_TIMEOUT_S)
+
+
+def members_of(stored: StoredState) -> Members:
+    """The latest members that a folder names, committed or not."""
+    return next(
+        (entry.members for entry in reversed(stored.entries) if entry.members is not None),
+        stored.snapshot.members,
+    )
--- /dev/null
+++ b/foxspread/consensus/transport.py
@@ -0,0 +1,280 @@
+"""HTTP/1.1 between coordinators, and for their callers: moves the bytes that `net/http` reads and writes.
+
+Connections, sizes, queues and times are bounded; nothing that a peer sends ends the process.
+"""
+
+import asyncio
+import contextlib
+import socket
+from collections import deque
+from collections.abc import Awaitable, Callable
+
+from loguru import logger
+
+from foxspread.config import Address
+from foxspread.net import http
+from foxspread.net.pool import listening, written
+
+MAX_CONNECTIONS = 512  # at once; a further one takes the place of the one that has been idle for longest
+LISTEN_BACKLOG = 256
+REQUEST_TIMEOUT_S = 5.0  # for the rest of a request that has begun, and for a reply to be taken
+IDLE_TIMEOUT_S = 60.0
+CLOSE_TIMEOUT_S = 0.5  # to read what a client still sends after an error
+ACCEPT_RETRY_S = 0.05  # after a failed accept, such as out of descriptors, so that it doesn't spin
+SERVER_BUFFER_BYTES = 8 * 1024
+CLIENT_BUFFER_BYTES = 4 * 1024
+
+MAX_QUEUED_MESSAGES = 128  # for one peer; the oldest are dropped, since Raft sends again what matters
+MAX_UNACKNOWLEDGED = 32  # messages to one peer
+ACKNOWLEDGE_TIMEOUT_S = 2.0  # a peer that acknowledges nothing for so long gets a new connection
+CONNECT_TIMEOUT_S = 1.0
+MIN_RECONNECT_S, MAX_RECONNECT_S = 0.02, 1.0  # exponential backoff between attempts to connect
+STABLE_CONNECTION_S = 5.0  # a connection that lasted longer resets the backoff
+SHOWN_REPLY_BYTES = 200  # of a refusal, for people
+
+HttpReply = tuple[int, bytes]
+Handler = Callable[[http.Message], Awaitable[HttpReply]]
+
+
+class HttpServer:
+    """Accepts connections and passes each request to `handler`."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, handler: Handler) -> None:
+        self.loop, self.handler = loop, handler
+        self.sock = listening(address, "listen", LISTEN_BACKLOG)
+        self.address = Address(*self.sock.getsockname()[:2])
+        # Open connections, the longest idle first, and when each began to wait for a request.
+        self.connections: dict[asyncio.Task, float] = {}
+        self.busy: set[asyncio.Task] = set()
+        self.refused, self.faults = 0, 0
+        self.task = loop.create_task(self._accept())
+
+    async def _accept(self) -> None:
+        while True:
+            try:
+                sock, _ = await self.loop.sock_accept(self.sock)
+            except OSError as error:
+                logger.warning("accept: {}", error)
+                await asyncio.sleep(ACCEPT_RETRY_S)
+                continue
+            if not self._evict_idle_connection():
+                self.refused += 1
+                sock.close()
+                continue
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            task = self.loop.create_task(self._serve(sock))
+            self.connections[task] = self.loop.time()
+            task.add_done_callback(self._closed)
+
+    def _evict_idle_connection(self) -> bool:
+        """Ends an idle connection where there are too many; False where all are busy."""
+        if len(self.connections) < MAX_CONNECTIONS:
+            return True
+        idle = next((each for each in self.connections if each not in self.busy), None)
+        if idle is not None:
+            idle.cancel()
+        return idle is not None
+
+    def _closed(self, task: asyncio.Task) -> None:
+        self.connections.pop(task, None)
+        self.busy.discard(task)
+
+    async def _serve(self, sock: socket.socket) -> None:
+        """One connection, to its end."""
+        reader, buffer = http.RequestReader(), bytearray(SERVER_BUFFER_BYTES)
+        try:
+            while await self._serve_request(sock, reader, buffer):
+                pass
+        except http.BadMessage as error:
+            self.faults += 1
+            with contextlib.suppress(OSError, TimeoutError):
+                await self._refuse(sock, error, buffer)
+        except (OSError, TimeoutError):
+            pass
+        except asyncio.CancelledError:
+            pass  # it made way for another connection, or the process ends
+        except Exception:  # a fault of ours must not end the process, nor go unseen
+            self.faults += 1
+            logger.exception("a call")
+        finally:
+            sock.close()
+
+    async def _serve_request(
+        self, sock: socket.socket, reader: http.RequestReader, buffer: bytearray
+    ) -> bool:
+        """Reads and answers one request; False where the connection is to be closed."""
+        task = asyncio.current_task()
+        if not await self._read_request(sock, reader, buffer):
+            return False
+        message = reader.ready.popleft()
+        self.busy.add(task)
+        if message.long:
+            raise http.BadMessage(413, f"a body of more than {http.BODY_MOST} bytes")
+        status, body = await self.handler(message)
+        content_type = (b"Content-Type: application/json\r\n",)
+        await self._write(sock, http.answer(status, body, content_type, keep=message.keep, old=message.old))
+        self.busy.discard(task)
+        self.connections[task] = self.connections.pop(task)  # to the end: the latest to become idle
+        return message.keep
+
+    async def _read_request(self, sock: socket.socket, reader: http.RequestReader, buffer: bytearray) -> bool:
+        """Reads until a request is there; False where the client has closed the connection."""
+        while not reader.ready:
+            async with asyncio.timeout(REQUEST_TIMEOUT_S if reader.busy else IDLE_TIMEOUT_S):
+                size = await self.loop.sock_recv_into(sock, buffer)
+            if not size:
+                return False
+            reader.feed(memoryview(buffer)[:size], 0.0)
+            if reader.wants_continue:
+                await self._write(sock, [b"HTTP/1.1 100 Continue\r\n\r\n"])
+        return True
+
+    async def _refuse(self, sock: socket.socket, error: http.BadMessage, buffer: bytearray) -> None:
+        """Replies, then reads to the end: closing with bytes unread resets the connection, and the reply may
+        be lost."""
+        await self._write(sock, http.answer(error.status, f"{error}\n".encode(), keep=False))
+        sock.shutdown(socket.SHUT_WR)
+        async with asyncio.timeout(CLOSE_TIMEOUT_S):
+            while await self.loop.sock_recv_into(sock, buffer):
+                pass
+
+    async def _write(self, sock: socket.socket, parts: list[bytes]) -> None:
+        if rest := written(sock, parts):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                await self.loop.sock_sendall(sock, rest)
+
+    def close(self) -> None:
+        """Ends all connections at once."""
+        self.task.cancel()
+        self.sock.close()
+        for task in list(self.connections):
+            task.cancel()
+
+
+class PeerConnection:
+    """Messages to one peer, over one connection that is made again where it breaks.
+
+    What can't be sent is dropped: Raft bears lost messages. `random` gives numbers from 0 to 1.
+    """
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, peer: str, address: Address, random: Callable[[], float]
+    ) -> None:
+        self.loop, self.peer, self.address, self.random = loop, peer, address, random
+        self.queue: deque[bytes] = deque(maxlen=MAX_QUEUED_MESSAGES)
+        self.queued, self.reconnect_requested = asyncio.Event(), asyncio.Event()
+        self.sent, self.dropped, self.connects = 0, 0, 0
+        self.last_error = ""  # why there is no connection, or the peer refuses messages; for people
+        self.connected = False
+        self.unacknowledged: deque[float] = deque()  # when each was sent
+        self.acknowledged = asyncio.Event()
+        self.task = loop.create_task(self._run())
+
+    def send(self, body: bytes) -> None:
+        """Queues a message."""
+        if len(self.queue) == MAX_QUEUED_MESSAGES:
+            self.dropped += 1
+        self.queue.append(body)
+        self.queued.set()
+
+    def reconnect_now(self) -> None:
+        """The peer was heard, so it is up: ends the backoff.
+
+        Otherwise a majority of two may wait out a backoff where the one that was elected last tried to
+        connect while the other one was down.
+        """
+        if not self.connected:
+            self.reconnect_requested.set()
+
+    def close(self) -> None:
+        """Ends the connection, and drops what is queued."""
+        self.task.cancel()
+
+    async def _run(self) -> None:
+        backoff = MIN_RECONNECT_S
+        while True:
+            started = self.loop.time()
+            try:
+                await self._connection()
+            except (OSError, TimeoutError, http.BadMessage) as error:
+                self.last_error = str(error) or type(error).__name__
+            self.connected = False
+            self.dropped += len(self.queue)  # these are outdated by now
+            self.queue.clear()
+            was_stable = self.loop.time() - started > STABLE_CONNECTION_S
+            backoff = MIN_RECONNECT_S if was_stable else min(2 * backoff, MAX_RECONNECT_S)
+            await self._wait_to_reconnect(backoff)
+
+    async def _wait_to_reconnect(self, backoff: float) -> None:
+        self.reconnect_requested.clear()
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(backoff * (0.5 + self.random())):
+                await self.reconnect_requested.wait()
+        if self.reconnect_requested.is_set():
+            await asyncio.sleep(MIN_RECONNECT_S)  # however often it is requested
+
+    async def _connection(self) -> None:
+        """One connection, to its end. Raises what ended it."""
+        sock = socket.socket(socket.AF_INET6 if ":" in self.address.host else socket.AF_INET)
+        try:
+            sock.setblocking(False)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self.loop.sock_connect(sock, (self.address.host, self.address.port))
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.connects, self.connected = self.connects + 1, True
+            self.unacknowledged, self.acknowledged = deque(), asyncio.Event()
+            async with asyncio.TaskGroup() as group:
+                group.create_task(self._read(sock))
+                group.create_task(self._write(sock))
+        except* (OSError, TimeoutError, http.BadMessage) as several:
+            error = several.exceptions[0]
+            while isinstance(error, ExceptionGroup):
+                error = error.exceptions[0]
+            raise ConnectionError(str(error) or type(error).__name__) from None
+        finally:
+            sock.close()
+
+    async def _write(self, sock: socket.socket) -> None:
+        """Sends without waiting for each acknowledgement, up to a bound."""
+        host = str(self.address).encode()
+        while True:
+            if not self.queue:
+                self.queued.clear()
+                await self.queued.wait()
+            while len(self.unacknowledged) >= MAX_UNACKNOWLEDGED:
+                self.acknowledged.clear()
+                await self.acknowledged.wait()
+            body = self.queue.popleft()
+            head = b"\r\nContent-Length: %d\r\n\r\n" % len(body)
+            self.unacknowledged.append(self.loop.time())
+            if rest := written(sock, [b"POST /peer HTTP/1.1\r\nHost: ", host, head, body]):
+                async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT_S):
+                    await self.loop.sock_sendall(sock, rest)
+            self.sent += 1
+
+    async def _read(self, sock: socket.socket) -> None:
+        """Reads acknowledgements; raises where none comes in time."""
+        reader, buffer = http.AnswerReader(), bytearray(CLIENT_BUFFER_BYTES)
+        while True:
+            try:
+                async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT_S / 2):
+                    size = await self.loop.sock_recv_into(sock, buffer)
+            except TimeoutError:
+                oldest = self.unacknowledged[0] if self.unacknowledged else self.loop.time()
+                if self.loop.time() - oldest > ACKNOWLEDGE_TIMEOUT_S:
+                    raise TimeoutError("it acknowledges nothing") from None
+                continue
+            if not size:
+                raise ConnectionError("closed by the peer")
+            reader.feed(memoryview(buffer)[:size], 0.0)
+            while reader.ready:
+                self._take_acknowledgement(reader.ready.popleft())
+
+    def _take_acknowledgement(self, answer: http.Message) -> None:
+        if self.unacknowledged:
+            self.unacknowledged.popleft()
+        self.acknowledged.set()
+        self.last_error = ""
+        if answer.status != 200:
+            text = bytes(answer.body)[:SHOWN_REPLY_BYTES].decode(errors="replace").strip()
+            self.last_error = f"{answer.status} {text}"
--- a/foxspread/consensus/versions.py
+++ b/foxspread/consensus/versions.py
@@ -1,34 +1,47 @@
-"""What the log makes: versions of the rules, each written once. Pure; the same entries give the same
-versions.
+"""The state machine of the coordinators: versions of the rules, each written once.
 
-A version has a number, the digest of its content, who wrote it and why, what it follows and the id of the
-request that asked for it. Numbers rise by one. A put may name the number that it expects to be the latest
-(compare-and-set); where it is not, it is turned down and told whose version stands there. A put that comes
-again with an id that a version has gives that version, and none that is new.
+Pure: the same entries give the same versions on each node. Version numbers rise by one. A put may name the
+number that it expects to be the latest (compare-and-set); where another one is, nothing is written and the
+put learns whose version it is. A put is idempotent by its request id: one that comes again gives the
+version that it gave before.
 """
 
 import hashlib
 
 import msgspec
 
-from foxspread.consensus.messages import Row, encoded
+from foxspread.consensus import wire_tags
+from foxspread.consensus.records import Row
+from foxspread.consensus.wire import encode
 
-CONTENT_MOST = 32 * 1024  # bytes of a version's content
-TEXT_MOST = 300  # characters of who and why
-KEPT = 20_000  # versions; older ones go, their numbers are not used again
+MAX_CONTENT_BYTES = 32 * 1024  # of a version: it must fit into one log entry
+MAX_TEXT_CHARACTERS = 300  # of `who` and `why`
+MAX_VERSIONS = 20_000  # that are stored; older ones are dropped, and their numbers not used again
+ANY_VERSION = -1  # `PutVersion.if_version` of a put that is written whatever the latest version is
 
 
-class Put(Row, frozen=True, tag="put"):
-    request: str  # drawn by the writer, once for all tries of one put
+class PutVersion(Row, frozen=True, tag=wire_tags.PUT_VERSION):
+    """The command that writes a version.
+
+    request: id that the writer draws once for all attempts of one put.
+    content: of the version.
+    if_version: what must be the latest version; 0: none yet; `ANY_VERSION`.
+    who, why, at: for people; `at` is the wall clock of the coordinator that took it in.
+    refusals: so many sidecars may reject the version without its being withdrawn.
+    """
+
+    request: str
     content: bytes
-    if_version: int = -1  # what must be the latest; -1: whatever is
+    if_version: int = ANY_VERSION
     who: str = ""
     why: str = ""
-    at: float = 0.0  # wall clock of who took it in, for people only
-    refusals: int = 0  # how many may turn it down without it being withdrawn
+    at: float = 0.0
+    refusals: int = 0
 
 
 class Version(Row, frozen=True):
+    """One version. `follows`: the number of the version before it; other fields as in `PutVersion`."""
+
     number: int
     digest: str
     content: bytes
@@ -40,47 +53,60 @@
     refusals: int = 0
 
 
-class Done(Row, frozen=True):
+class VersionWritten(Row, frozen=True):
+    """The put was written, by this attempt or by an earlier one."""
+
     version: Version
 
 
-class Conflict(Row, frozen=True):
-    """Not written: `latest` stands where another was expected (None: there is no version yet)."""
+class VersionConflict(Row, frozen=True):
+    """Not written: another version than `expected` is the latest; `latest` None: there is none yet."""
 
     expected: int
     latest: Version | None
 
 
-class Misused(Row, frozen=True):
-    """Not written: the request's id was used for another content."""
+class RequestIdReused(Row, frozen=True):
+    """Not written: the request id was used for `version`, which has another content."""
 
     version: Version
 
 
-class State(Row):
+PutResult = VersionWritten | VersionConflict | RequestIdReused
+
+
+class VersionHistory(Row):
+    """The store's state in a snapshot."""
+
     latest: int
     versions: list[Version]
 
 
 def digest(content: bytes) -> str:
+    """SHA-256 of a content, in hexadecimal."""
     return hashlib.sha256(content).hexdigest()
 
 
-class Versions:
+class VersionStore:
+    """The versions that the log makes."""
+
     def __init__(self) -> None:
         self.latest = 0
         self.by_number: dict[int, Version] = {}
         self.by_request: dict[str, int] = {}
 
-    def apply(self, body: bytes) -> Done | Conflict | Misused:
-        return self.put(msgspec.msgpack.decode(body, type=Put))
-
-    def put(self, put: Put) -> Done | Conflict | Misused:
-        found = self.by_number.get(self.by_request.get(put.request, 0))
-        if found is not None:
-            return Done(found) if found.digest == digest(put.content) else Misused(found)
-        if put.if_version not in (-1, self.latest):
-            return Conflict(put.if_version, self.by_number.get(self.latest))
+    def apply(self, body: bytes) -> PutResult:
+        """Applies an entry of the log."""
+        return self.put(msgspec.msgpack.decode(body, type=PutVersion))
+
+    def put(self, put: PutVersion) -> PutResult:
+        """Writes a version, unless the put is a repeated one or conflicts."""
+        existing = self.by_number.get(self.by_request.get(put.request, 0))
+        if existing is not None:
+            same_content = existing.digest == digest(put.content)
+            return VersionWritten(existing) if same_content else RequestIdReused(existing)
+        if put.if_version not in (ANY_VERSION, self.latest):
+            return VersionConflict(put.if_version, self.by_number.get(self.latest))
         version = Version(
             self.latest + 1,
             digest(put.content),
@@ -93,25 +119,27 @@
             put.refusals,
         )
         self._add(version)
-        return Done(version)
+        return VersionWritten(version)
 
     def _add(self, version: Version) -> None:
         self.latest = version.number
         self.by_number[version.number] = version
         self.by_request[version.request] = version.number
-        if (old := self.by_number.pop(version.number - KEPT, None)) is not None:
-            self.by_request.pop(old.request, None)
+        if (dropped := self.by_number.pop(version.number - MAX_VERSIONS, None)) is not None:
+            self.by_request.pop(dropped.request, None)
 
     def get(self, number: int = 0) -> Version | None:
-        """The latest (0) or the one with this number."""
+        """The latest version (0), or the one with this number."""
         return self.by_number.get(number or self.latest)
 
     def saved(self) -> bytes:
-        return encoded(State(self.latest, list(self.by_number.values())))
+        """The state, for a snapshot."""
+        return encode(VersionHistory(self.latest, list(self.by_number.values())))
 
     def restore(self, data: bytes) -> None:
-        state = msgspec.msgpack.decode(data, type=State) if data else State(0, [])
+        """Replaces the state by that of a snapshot; empty: by no version."""
+        history = msgspec.msgpack.decode(data, type=VersionHistory) if data else VersionHistory(0, [])
         self.__init__()
-        for version in state.versions:
+        for version in history.versions:
             self._add(version)
-        self.latest = state.latest
+        self.latest = history.latest
--- a/foxspread/duties/chief.py
+++ b/foxspread/duties/chief.py
@@ -17,8 +17,10 @@
 from foxspread.agreed.course import Course
 from foxspread.agreed.steward import ASKS_MOST, GATHER, STRAY_MOST, Steward
 from foxspread.consensus.coordinator import Answer, Status
-from foxspread.consensus.core import Refused, Role
-from foxspread.consensus.messages import Row, Snapshot, encoded
+from foxspread.consensus.errors import RequestRejected
+from foxspread.consensus.raft import Role
+from foxspread.consensus.records import Row, Snapshot
+from foxspread.consensus.wire import encode
 from foxspread.duties import registry
 from foxspread.duties.owner import DutyAsk, Given
 from foxspread.duties.registry import DutyCommand, Free, Lose, Registry, Take, Wish, Yield, name_of
@@ -74,7 +76,7 @@
 
 
 class Chief(Steward):
-    versions_kind = DutyCourse
+    store_type = DutyCourse
 
     def __init__(self, now: float, *told: Any, **more: Any) -> None:
         self.duty_asks: dict[int, tuple[DutyAsk | None, float]] = {}  # None: asks for tokens only
@@ -98,18 +100,18 @@
     def ask_duties(self, now: float, token: int, ask: DutyAsk | None) -> None:
         """Answered by a `Given`, or by all tokens where a receiver asks (None)."""
         if len(self.duty_asks) >= ASKS_MOST:
-            return self.answers.append(Answer(token, Status.REFUSED, f"{ASKS_MOST} asks wait already"))
-        self.duty_asks[token] = (ask, now + self.patience)
+            return self.answers.append(Answer(token, Status.REJECTED, f"{ASKS_MOST} asks wait already"))
+        self.duty_asks[token] = (ask, now + self.answer_timeout_s)
         if ask is not None and len(self.duty_news) < STRAY_MOST:
             self.duty_news[ask.instance] = Offer(ask.offers, ask.yields)
         self.flush_at = min(self.flush_at, now + GATHER)
 
     def write_duty(self, now: float, token: int, command: DutyCommand) -> None:
         """An owner's write, or a person's; answered with what stands against it, "" where it is done."""
-        self._write(now, token, lambda: self.member.propose(now, encoded(command)))
+        self._write(now, token, lambda: self.raft.propose(now, encode(command)))
 
-    def left(self, token: int) -> None:
-        super().left(token)
+    def cancel(self, token: int) -> None:
+        super().cancel(token)
         self.duty_asks.pop(token, None)
 
     def _flush(self, now: float) -> None:
@@ -118,22 +120,22 @@
         if tokens := [each for each in self.duty_asks if each not in under_way]:
             self.own_tokens -= 1
             try:
-                self.member.read(now, self.own_tokens)
+                self.raft.read(now, self.own_tokens)
                 self.duty_reading[self.own_tokens] = tokens
-            except Refused:
+            except RequestRejected:
                 for token in tokens:
                     self._turned(token, "nobody leads")
         news, self.duty_news = self.duty_news, {}
         if self.duty_lead is not None:
             self._offered(now, news)
-        elif news and self.member.leader:
-            self.member.note(now, self.member.leader, encoded(Offers(news)))
+        elif news and self.raft.leader_id:
+            self.raft.send_host_message(now, self.raft.leader_id, encode(Offers(news)))
 
-    def _noted(self, now: float, sender: str, body: bytes) -> None:
+    def _host_message_received(self, now: float, sender: str, body: bytes) -> None:
         try:
             offers = msgspec.msgpack.decode(body, type=Offers)
         except msgspec.DecodeError:
-            return super()._noted(now, sender, body)
+            return super()._host_message_received(now, sender, body)
         if self.duty_lead is not None:
             self._offered(now, offers.heard)
 
@@ -145,17 +147,17 @@
 
     def _turned(self, token: int, why: str) -> None:
         if self.duty_asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.ELSEWHERE, why, self.member.leader))
+            self.answers.append(Answer(token, Status.NOT_LEADER, why, self.raft.leader_id))
 
-    def _read_done(self, now: float, token: int, holds: bool) -> bool:
+    def _read_finished(self, now: float, token: int, holds: bool) -> bool:
         tokens = self.duty_reading.pop(token, None)
         if tokens is None:
-            return super()._read_done(now, token, holds)
+            return super()._read_finished(now, token, holds)
         for each in tokens:
             if not holds:
                 self._turned(each, "it leads no more")
             elif (waiting := self.duty_asks.pop(each, None)) is not None:
-                self.answers.append(Answer(each, Status.DONE, self.given(waiting[0]), self.member.leader))
+                self.answers.append(Answer(each, Status.DONE, self.given(waiting[0]), self.raft.leader_id))
         return True
 
     def given(self, ask: DutyAsk | None) -> Given | dict[str, int]:
@@ -169,13 +171,13 @@
 
     def _lead(self, now: float) -> None:
         super()._lead(now)
-        member = self.member
+        member = self.raft
         if member.role is not Role.LEADER:
             self.duty_lead = None
             return
-        if self.duty_lead is None or self.duty_lead.term != member.term:
-            self.duty_lead = DutyLead(member.term, now, stirred=now)
-        if member.applied < member.own_term_at or self.course.terms is None:
+        if self.duty_lead is None or self.duty_lead.term != member.current_term:
+            self.duty_lead = DutyLead(member.current_term, now, stirred=now)
+        if member.last_applied < member.first_index_of_term or self.course.terms is None:
             return
         lead, lease = self.duty_lead, self.terms.runs_out(self.terms.lease)
         for instance in [each for each, (at, _) in lead.heard.items() if now - at > 3 * lease]:
@@ -239,9 +241,9 @@
         if self.duty_lead.proposed.get(duty, 0.0) > now:
             return
         try:
-            self.member.propose(now, encoded(command))
+            self.raft.propose(now, encode(command))
             self.duty_lead.proposed[duty] = now + AGAIN
-        except Refused:
+        except RequestRejected:
             pass
 
     # What happens
@@ -257,17 +259,17 @@
         if self.duty_lead is not None and any(
             each.lost or not each.owner for each in self.duties.duties.values()
         ):
-            due = self.member.now + 0.1
+            due = self.raft.now + 0.1
         return min(super().wake_at(), first, due)
 
     def _restored(self, snapshot: Snapshot) -> None:
         super()._restored(snapshot)
-        self._seen(self.member.now)
+        self._seen(self.raft.now)
 
     def _applied(self, index: int, entry: Any) -> None:
         before = {name: (duty.token, duty.owner, duty.lost) for name, duty in self.duties.duties.items()}
         super()._applied(index, entry)
-        now = self.member.now
+        now = self.raft.now
         for name, duty in self.duties.duties.items():
             if before.get(name) != (duty.token, duty.owner, duty.lost):
                 if duty.lost:
--- a/foxspread/duties/registry.py
+++ b/foxspread/duties/registry.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from foxspread.consensus.messages import Row, encoded
+from foxspread.consensus.records import Row
+from foxspread.consensus.wire import encode
 
 DUTIES_MOST = 256
 INTENTS_MOST = 1024  # of a duty, that are not closed; more are turned down
@@ -220,7 +221,7 @@
         return {name: duty.token for name, duty in self.duties.items()}
 
     def saved(self) -> bytes:
-        return encoded(Registered(self.duties, self.losses))
+        return encode(Registered(self.duties, self.losses))
 
     def restore(self, data: bytes) -> None:
         told = msgspec.msgpack.decode(data, type=Registered) if data else Registered({}, {})
--- a/foxspread/lab/processes/agreed.py
+++ b/foxspread/lab/processes/agreed.py
@@ -16,7 +16,7 @@
 from foxspread.agreed.keys import Kind
 from foxspread.agreed.steward import Steward
 from foxspread.consensus.coordinator import Answer, Status
-from foxspread.consensus.messages import Snapshot
+from foxspread.consensus.records import Snapshot
 from foxspread.lab.processes import virtual
 from foxspread.lab.processes.judge import Fault, Judge
 from foxspread.lab.processes.virtual import Node, Plan, World
@@ -103,8 +103,8 @@
 
 class Watching(Steward):
     def __init__(self, node: Node, *rest: Any) -> None:
-        self.kind, self.versions_kind, self.node = node.world.broken.member, node.world.broken.course, node
-        self.compact_bytes = node.world.compact_bytes
+        self.node_type, self.store_type, self.node = node.world.broken.member, node.world.broken.course, node
+        self.min_compaction_bytes = node.world.compact_bytes
         super().__init__(*rest, terms=node.world.plan.terms)
 
     def _applied(self, index: int, entry: Any) -> None:
@@ -423,7 +423,7 @@
 
 def next_host(world: AgreedWorld) -> Steward | None:
     hosts = [node.host for node in world.nodes.values() if node.host is not None]
-    return max(hosts, key=lambda host: host.member.applied, default=None)
+    return max(hosts, key=lambda host: host.raft.last_applied, default=None)
 
 
 @dataclass
--- a/foxspread/lab/processes/agreed_mutants.py
+++ b/foxspread/lab/processes/agreed_mutants.py
@@ -11,7 +11,7 @@
 from foxspread.agreed.holder import Acting, Ask, Grant, Holder, Kept, Mode
 from foxspread.agreed.steward import Heard, Lead, Steward
 from foxspread.consensus.coordinator import Answer, Status
-from foxspread.consensus.core import Role
+from foxspread.consensus.raft import Role
 from foxspread.lab.processes import agreed
 from foxspread.lab.processes.agreed import AgreedPlan, Broken, Result
 
@@ -102,8 +102,8 @@
     """One that leads anew takes the next step at once."""
 
     def _lead(self, now: float) -> None:
-        if self.member.role is Role.LEADER and (self.lead is None or self.lead.term != self.member.term):
-            self.lead = Lead(self.member.term, now)
+        if self.raft.role is Role.LEADER and (self.lead is None or self.lead.term != self.raft.current_term):
+            self.lead = Lead(self.raft.current_term, now)
             self.phase_at = -1e9
         super()._lead(now)
 
@@ -114,7 +114,7 @@
     def ask(self, now: float, token: int, ask: Ask) -> None:
         super().ask(now, token, ask)
         if ask.holder in self.course.holders and self.asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.DONE, self.grant(), self.member.leader))
+            self.answers.append(Answer(token, Status.DONE, self.grant(), self.raft.leader_id))
 
 
 class ForgetsClosed(Steward):
--- a/foxspread/lab/processes/car.py
+++ b/foxspread/lab/processes/car.py
@@ -34,10 +34,10 @@
         from foxspread.lab.processes.agreed_mutants import MUTANTS
 
         kind = MUTANTS[told["mutant"]].broken.holder
-    holder = kind(clock() + clock.zero, told["id"], check, chance.random, 0.02, boot, kept)
+    holder = kind(clock() + clock.started, told["id"], check, chance.random, 0.02, boot, kept)
     _follower = Follower(  # kept: its tasks end with it
         holder,
-        lambda: clock() + clock.zero,
+        lambda: clock() + clock.started,
         [address(each, "at") for each in told["coordinators"]],
         chance.random,
         lambda _: keep(file, holder),
@@ -47,7 +47,7 @@
     writer.write(f"{told['id']}\n".encode())
     while True:
         await asyncio.sleep(chance.expovariate(told["acts"]))
-        decided = holder.acting(clock() + clock.zero)
+        decided = holder.acting(clock() + clock.started)
         if chance.random() < 0.1:
             await asyncio.sleep(chance.expovariate(2.0))
         line = (
@@ -61,7 +61,7 @@
             ).encode()
             + b"\n"
         )
-        if decided.mode is not Mode.NONE and holder.may(clock() + clock.zero, decided):
+        if decided.mode is not Mode.NONE and holder.may(clock() + clock.started, decided):
             writer.write(line)
             await writer.drain()
 
--- a/foxspread/lab/processes/child.py
+++ b/foxspread/lab/processes/child.py
@@ -15,13 +15,13 @@
 from foxspread.agreed.steward import Steward
 from foxspread.cli.coordinator import serve
 from foxspread.consensus.clock import Clock
-from foxspread.consensus.disk import Disk
-from foxspread.consensus.versions import Versions
+from foxspread.consensus.storage import Storage
+from foxspread.consensus.versions import VersionStore
 
 FAILS = "fsync-fails"  # a file of this name in the folder
 
 
-class FailingDisk(Disk):
+class FailingDisk(Storage):
     def sync(self) -> None:
         if os.path.exists(self.folder / FAILS):
             raise sqlite3.OperationalError("fsync: input/output error")
@@ -34,12 +34,12 @@
         from foxspread.lab.processes.mutants import MUTANTS
 
         broken = MUTANTS[args[2]].broken
-        Steward.kind = broken.member
-        if broken.versions is not Versions:
-            Steward.versions_kind = type("Broken", (broken.versions, Course), {})
+        Steward.node_type = broken.member
+        if broken.versions is not VersionStore:
+            Steward.store_type = type("Broken", (broken.versions, Course), {})
 
     class Child(StewardProcess):
-        disk_kind = FailingDisk
+        storage_type = FailingDisk
 
         def __init__(self, *told: Any) -> None:
             super().__init__(*told, Clock(rate))
--- a/foxspread/lab/processes/duties.py
+++ b/foxspread/lab/processes/duties.py
@@ -68,8 +68,8 @@
 
 class Watching(Chief):
     def __init__(self, node: Node, *rest: Any) -> None:
-        self.kind, self.node = node.world.broken.member, node
-        self.compact_bytes = node.world.compact_bytes
+        self.node_type, self.node = node.world.broken.member, node
+        self.min_compaction_bytes = node.world.compact_bytes
         super().__init__(*rest, terms=node.world.plan.terms)
 
     def _applied(self, index: int, entry: Any) -> None:
@@ -150,7 +150,7 @@
             return
         if answer.status is Status.DONE:
             self.car.input(lambda: self.then(answer.value))
-        elif answer.status is Status.ELSEWHERE and answer.leader not in ("", self.target):
+        elif answer.status is Status.NOT_LEADER and answer.leader not in ("", self.target):
             again = replace_target(self, answer.leader)
             self.car.input(lambda: self.car.send(again))
 
@@ -408,7 +408,7 @@
     def ask_duties(self, now: float, token: int, ask: DutyAsk | None) -> None:
         super().ask_duties(now, token, ask)
         if self.duty_asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.DONE, self.given(ask), self.member.leader))
+            self.answers.append(Answer(token, Status.DONE, self.given(ask), self.raft.leader_id))
 
 
 class Unguarded(Guard):
--- a/foxspread/lab/processes/explorer.py
+++ b/foxspread/lab/processes/explorer.py
@@ -3,7 +3,7 @@
 is lost, so all losses and orders are among the states. Breadth first, so the first fault found is the
 shortest.
 
-Left out, and looked at by the seeded runs: time (an election begins by the leader's `HandOver`, which waits
+Left out, and looked at by the seeded runs: time (an election begins by the leader's `TimeoutNow`, which waits
 for nothing), messages that come twice, disks that lose what they had, changes of members.
 """
 
@@ -14,23 +14,15 @@
 
 import msgspec
 
-from foxspread.consensus.core import Log, Member, Ready, Role, Settings
-from foxspread.consensus.messages import (
-    FORMAT,
-    Entry,
-    Envelope,
-    HandOver,
-    Message,
-    Saved,
-    Seat,
-    Stamp,
-    Vote,
-    encoded,
-)
+from foxspread.consensus.raft import RaftNode, RaftSettings, Ready, Role
+from foxspread.consensus.raft.log import RaftLog
+from foxspread.consensus.messages import Envelope, Message, RequestVoteReply, TimeoutNow
+from foxspread.consensus.records import LogEntry, MemberAddress, StorageIdentity, StoredState
+from foxspread.consensus.wire import FORMAT, encode
 
 IDS = ("c1", "c2", "c3")
 READER = msgspec.msgpack.Decoder(Message)
-STAMP = Stamp("", 1, "", 0, 0)
+STAMP = StorageIdentity("", 1, "", 0, 0)
 
 
 @dataclass(frozen=True)
@@ -61,8 +53,8 @@
 
 @dataclass
 class State:
-    members: dict[str, Member]
-    disks: dict[str, Saved]
+    members: dict[str, RaftNode]
+    disks: dict[str, StoredState]
     network: frozenset[tuple[str, str, bytes]]  # messages under way, as they are sent
     campaigns: int = 0
     writes: int = 0
@@ -70,50 +62,61 @@
     beats: int = 0
     leaders: frozenset[tuple[int, str]] = frozenset()
     votes: frozenset[tuple[str, int, str]] = frozenset()
-    committed: tuple[tuple[Entry, int], ...] = ()  # and the term in which it was, which is its leader's
+    committed: tuple[tuple[LogEntry, int], ...] = ()  # and the term in which it was, which is its leader's
 
 
-def trusting(kind: type[Member]) -> type[Member]:
+def trusting(kind: type[RaftNode]) -> type[RaftNode]:
     class Trusting(kind):
-        def _trusted(self, sender: str, stamp: Stamp) -> bool:
+        def _verify_storage(self, sender: str, shown: StorageIdentity) -> bool:
             return True
 
     return Trusting
 
 
-def member_of(kind: type[Member], id: str, disk: Saved) -> Member:
+def member_of(kind: type[RaftNode], id: str, disk: StoredState) -> RaftNode:
     saved = copy.copy(disk)
-    found = kind(0.0, id, "lab", saved, {each: Seat(each) for each in IDS}, Settings(batch=1), lambda: 0.5)
+    found = kind(
+        0.0,
+        id,
+        "lab",
+        saved,
+        {each: MemberAddress(each) for each in IDS},
+        RaftSettings(batch_bytes=1),
+        lambda: 0.5,
+    )
     if found.role is Role.STARTING:
-        found._proved()  # what the others say of its disk is not looked at here
+        found._finish_storage_check()  # what the others say of its disk is not looked at here
     return found
 
 
-def cloned(member: Member) -> Member:
+def cloned(member: RaftNode) -> RaftNode:
     twin = copy.copy(member)
-    twin.known, twin.retired = dict(member.known), dict(member.retired)
-    twin.log = Log(member.log.base, member.log.base_term, list(member.log.entries))
-    twin.pending, twin.held = [list(row) for row in member.pending], list(member.held)
-    twin.out, twin.votes, twin.welcomes = Ready(), set(member.votes), set(member.welcomes)
+    twin.observed_storage, twin.removed_disks = dict(member.observed_storage), dict(member.removed_disks)
+    twin.log = RaftLog(member.log.base, member.log.base_term, list(member.log.entries))
+    twin.pending_writes = [copy.copy(write) for write in member.pending_writes]
+    twin.delayed_messages, twin.ready = list(member.delayed_messages), Ready()
+    twin.votes_received = set(member.votes_received)
+    twin.storage_confirmed_by = set(member.storage_confirmed_by)
     twin.progress = {each: copy.copy(row) for each, row in member.progress.items()}
-    twin.asked, twin.indexed = set(member.asked), list(member.indexed)
-    twin.reads = [copy.copy(each) for each in member.reads]
+    twin.forwarded_reads, twin.indexed_reads = set(member.forwarded_reads), list(member.indexed_reads)
+    twin.pending_reads = [copy.copy(each) for each in member.pending_reads]
     return twin
 
 
-def key_of(member: Member) -> tuple:
+def key_of(member: RaftNode) -> tuple:
     progress = tuple(
-        (each, row.next, row.match, row.since is None) for each, row in sorted(member.progress.items())
+        (peer, row.next_index, row.match_index, row.in_flight_since is None)
+        for peer, row in sorted(member.progress.items())
     )
     return (
         member.role.value,
-        member.term,
-        member.vote,
-        member.leader,
+        member.current_term,
+        member.voted_for,
+        member.leader_id,
         tuple(member.log.entries),
-        member.committed,
-        member.stable,
-        frozenset(member.votes),
+        member.commit_index,
+        member.durable_index,
+        frozenset(member.votes_received),
         progress,
     )
 
@@ -123,11 +126,11 @@
 
 
 class Explorer:
-    def __init__(self, case: Case, kind: type[Member] = Member) -> None:
+    def __init__(self, case: Case, kind: type[RaftNode] = RaftNode) -> None:
         self.case, self.kind = case, trusting(kind)
 
     def start(self) -> State:
-        disks = {id: Saved("", 1) for id in IDS}
+        disks = {id: StoredState("", 1) for id in IDS}
         state = State({id: member_of(self.kind, id, disks[id]) for id in IDS}, disks, frozenset())
         for id in IDS:
             self._settle(state, id)
@@ -144,39 +147,41 @@
                 disk.apply(write)
                 state.disks[id] = disk
             for envelope in ready.messages:
-                posted.append((envelope.to, envelope.message))
+                posted.append((envelope.recipient, envelope.message))
             for index, entry in ready.entries:
                 self._applied(state, id, index, entry)
             if ready.writes:
                 member.confirmed(0.0, ready.writes[-1].number)
         for to, message in posted:
-            if isinstance(message, Vote) and message.granted and not message.pre:
+            if isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
                 if any(each[:2] == (id, message.term) and each[2] != to for each in state.votes):
                     raise Broke(f"one_vote: {id} votes twice in term {message.term}")
                 state.votes |= {(id, message.term, to)}
         state.network |= {
-            (id, to, encoded(message))
+            (id, to, encode(message))
             for to, message in posted
             if (id, to) not in self.case.silent and (to, id) not in self.case.silent
         }
         self._look(state, id)
 
-    def _applied(self, state: State, id: str, index: int, entry: Entry) -> None:
+    def _applied(self, state: State, id: str, index: int, entry: LogEntry) -> None:
         if index <= len(state.committed):
             if state.committed[index - 1][0] != entry:
                 raise Broke(f"same_entry: {id} applies another entry at {index}")
         else:
-            state.committed += ((entry, state.members[id].term),)
+            state.committed += ((entry, state.members[id].current_term),)
 
     def _look(self, state: State, id: str) -> None:
         member = state.members[id]
-        if member.role is Role.LEADER and (member.term, id) not in state.leaders:
-            if any(term == member.term for term, _ in state.leaders):
-                raise Broke(f"one_leader: two lead term {member.term}")
-            state.leaders |= {(member.term, id)}
-            before = [entry for entry, term in state.committed if term < member.term]
+        if member.role is Role.LEADER and (member.current_term, id) not in state.leaders:
+            if any(term == member.current_term for term, _ in state.leaders):
+                raise Broke(f"one_leader: two lead term {member.current_term}")
+            state.leaders |= {(member.current_term, id)}
+            before = [entry for entry, term in state.committed if term < member.current_term]
             if member.log.entries[: len(before)] != before:
-                raise Broke(f"leader_complete: {id} leads term {member.term} without what is committed")
+                raise Broke(
+                    f"leader_complete: {id} leads term {member.current_term} without what is committed"
+                )
         for other in IDS:
             mine, theirs = member.log.entries, state.members[other].log.entries
             same = [at for at in range(min(len(mine), len(theirs))) if mine[at].term == theirs[at].term]
@@ -215,12 +220,12 @@
                 else IDS
             ):  # the first may be any: they are alike
                 member = state.members[id]
-                if member.term < case.terms and member.role is not Role.LEADER:
+                if member.current_term < case.terms and member.role is not Role.LEADER:
                     twin = self._next(state, campaigns=state.campaigns + 1)
                     if member.role is Role.CANDIDATE:  # its election came to nothing
                         twin.members[id] = cloned(member)
-                        twin.members[id]._become(Role.ASKING)
-                    self._input(twin, id, HandOver(member.term), "lab")
+                        twin.members[id]._transition_to(Role.PRE_CANDIDATE)
+                    self._input(twin, id, TimeoutNow(member.current_term), "lab")
                     yield f"{id} asks for votes", twin
         for id in IDS:
             member = state.members[id]
@@ -234,11 +239,11 @@
                 twin = self._next(state, beats=state.beats + 1)
                 again = twin.members[id] = cloned(member)
                 for row in again.progress.values():
-                    row.since, row.next = None, row.match + 1
-                again._beat()
+                    row.in_flight_since, row.next_index = None, row.match_index + 1
+                again._broadcast_heartbeat()
                 self._settle(twin, id)
                 yield f"{id} sends again", twin
-            if state.crashes < case.crashes and state.disks[id].count > 1:
+            if state.crashes < case.crashes and state.disks[id].writes > 1:
                 twin = self._next(state, crashes=state.crashes + 1)
                 twin.members[id] = member_of(self.kind, id, twin.disks[id])
                 self._settle(twin, id)
--- a/foxspread/lab/processes/fleet.py
+++ b/foxspread/lab/processes/fleet.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 
 from foxspread.config import Address
-from foxspread.consensus import messages
+from foxspread.consensus import messages, wire
 from foxspread.lab.processes.child import FAILS
 from foxspread.lab.processes.relay import Relay
 from foxspread.lab.processes.scenario import Scenario
@@ -183,7 +183,7 @@
 
     def _seen(self, body: bytes) -> None:
         try:
-            self.saw(messages.DECODER.decode(body))
+            self.saw(wire.decode(body))
         except Exception:  # a body of another kind: nothing for the ledger
             pass
 
--- a/foxspread/lab/processes/judge.py
+++ b/foxspread/lab/processes/judge.py
@@ -5,9 +5,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.consensus.core import Role, Settings
-from foxspread.consensus.messages import Append, Appended, AskVote, Entry, Envelope, Install, Vote
-from foxspread.consensus.versions import Conflict, Done, Misused, Put, Version
+from foxspread.consensus.raft import RaftSettings, Role
+from foxspread.consensus.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    Envelope,
+    InstallSnapshot,
+    RequestVote,
+    RequestVoteReply,
+)
+from foxspread.consensus.records import LogEntry
+from foxspread.consensus.versions import PutVersion, RequestIdReused, Version, VersionConflict, VersionWritten
 from foxspread.lab.processes import linear
 from foxspread.lab.processes.linear import Op
 
@@ -41,12 +49,12 @@
 
 @dataclass
 class Judge:
-    settings: Settings
+    settings: RaftSettings
     faults: list[Fault] = field(default_factory=list)
     leaders: dict[int, str] = field(default_factory=dict)  # by term
     votes: dict[tuple[str, int], str] = field(default_factory=dict)
     given: dict[tuple[str, int], set[str]] = field(default_factory=dict)  # votes that arrived
-    entries: dict[int, Entry] = field(default_factory=dict)  # as first applied, which is by the leader...
+    entries: dict[int, LogEntry] = field(default_factory=dict)  # as first applied, which is by the leader...
     terms: dict[int, int] = field(default_factory=dict)  # ... of this term
     last: dict[str, int] = field(default_factory=dict)  # what each has applied
     seen: dict[str, tuple[int, int]] = field(default_factory=dict)  # of each: generation and term as leader
@@ -66,32 +74,34 @@
         """As a message leaves, with the sender's disk as it is by then."""
         self.passed(envelope)
         message, id, disk = envelope.message, envelope.sender, node.disk.saved
-        if isinstance(message, Vote) and message.granted and not message.pre:
-            if disk.term < message.term or disk.term == message.term and disk.vote != envelope.to:
+        if isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
+            if disk.term < message.term or disk.term == message.term and disk.voted_for != envelope.recipient:
                 self.found(
                     "saved_first",
-                    f"{id} votes in term {message.term}, its disk has {disk.term} {disk.vote!r}",
+                    f"{id} votes in term {message.term}, its disk has {disk.term} {disk.voted_for!r}",
                 )
-        elif isinstance(message, AskVote) and not message.pre and disk.term < message.term:
+        elif isinstance(message, RequestVote) and not message.pre_vote and disk.term < message.term:
             self.found("saved_first", f"{id} asks for votes in term {message.term}, its disk has {disk.term}")
-        elif isinstance(message, Appended) and message.agreed:
+        elif isinstance(message, AppendEntriesReply) and message.success:
             if (last := disk.snapshot.index + len(disk.entries)) < message.index:
                 self.found("saved_first", f"{id} has saved {message.index}, its disk reaches {last}")
 
     def passed(self, envelope: Envelope) -> None:
         """As a message is seen on a link."""
         message, id = envelope.message, envelope.sender
-        if isinstance(message, (Append, Install)):
+        if isinstance(message, (AppendEntries, InstallSnapshot)):
             if (other := self.leaders.setdefault(message.term, id)) != id:
                 self.found("one_leader", f"{id} and {other} lead term {message.term}")
-        elif isinstance(message, Vote) and message.granted and not message.pre:
-            if (other := self.votes.setdefault((id, message.term), envelope.to)) != envelope.to:
-                self.found("one_vote", f"{id} votes for {other} and {envelope.to} in term {message.term}")
+        elif isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
+            if (other := self.votes.setdefault((id, message.term), envelope.recipient)) != envelope.recipient:
+                self.found(
+                    "one_vote", f"{id} votes for {other} and {envelope.recipient} in term {message.term}"
+                )
 
     def arrived(self, envelope: Envelope) -> None:
         message = envelope.message
-        if isinstance(message, Vote) and message.granted and not message.pre:
-            self.given.setdefault((envelope.to, message.term), set()).add(envelope.sender)
+        if isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
+            self.given.setdefault((envelope.recipient, message.term), set()).add(envelope.sender)
 
     # Members
 
@@ -102,8 +112,12 @@
 
     def looked(self, node: Any) -> None:
         """After each step of a member."""
-        member = node.host.member
-        if self.last.setdefault(node.id, member.snapshot.index) == member.snapshot.index == member.applied:
+        member = node.host.raft
+        if (
+            self.last.setdefault(node.id, member.snapshot.index)
+            == member.snapshot.index
+            == member.last_applied
+        ):
             named = next(
                 (entry.members for entry in reversed(member.log.entries) if entry.members is not None),
                 member.snapshot.members,
@@ -117,47 +131,54 @@
             return
         for other, row in member.progress.items():
             twin = node.world.nodes[other]
-            disk, past = twin.disk.saved, twin.lost or twin.disk.saved.term != member.term
-            if not past and row.match > disk.snapshot.index + len(disk.entries):
-                self.found("counted", f"{node.id} counts on {other} for {row.match}, its disk ends before")
-        if self.seen.get(node.id) != (node.run, member.term):
-            self.seen[node.id] = (node.run, member.term)
+            disk, past = twin.disk.saved, twin.lost or twin.disk.saved.term != member.current_term
+            if not past and row.match_index > disk.snapshot.index + len(disk.entries):
+                self.found(
+                    "counted", f"{node.id} counts on {other} for {row.match_index}, its disk ends before"
+                )
+        if self.seen.get(node.id) != (node.run, member.current_term):
+            self.seen[node.id] = (node.run, member.current_term)
             log = member.log
             for index in range(log.base + 1, max(self.entries, default=0) + 1):
                 known = self.entries.get(index)
                 if (
                     known is not None
-                    and self.terms[index] < member.term
-                    and (index > log.last or log.entry(index).term != known.term)
+                    and self.terms[index] < member.current_term
+                    and (index > log.last_index or log.entry(index).term != known.term)
                 ):
-                    self.found("leader_complete", f"{node.id} leads term {member.term} without entry {index}")
+                    self.found(
+                        "leader_complete", f"{node.id} leads term {member.current_term} without entry {index}"
+                    )
                     break
             members = next(
                 (entry.members for entry in reversed(log.entries[:-1]) if entry.members is not None),
                 member.snapshot.members,
             )
             voters = {each for each, seat in members.items() if seat.voter}
-            given = self.given.get((node.id, member.term), set()) | {node.id}
+            given = self.given.get((node.id, member.current_term), set()) | {node.id}
             if len(given & voters) * 2 <= len(voters):
                 self.found(
-                    "elected", f"{node.id} leads term {member.term} by {sorted(given)} of {sorted(voters)}"
+                    "elected",
+                    f"{node.id} leads term {member.current_term} by {sorted(given)} of {sorted(voters)}",
                 )
         now, voters = (
             node.local(),
             [each for each, seat in member.members.items() if seat.voter and each != node.id],
         )
         heard = sorted(
-            (member.progress[each].heard for each in voters if each in member.progress), reverse=True
+            (member.progress[each].last_reply_at for each in voters if each in member.progress), reverse=True
         )
         needed = (len(voters) + 1) // 2 if node.id in member.members else len(voters) // 2 + 1
-        if not (needed and len(heard) >= needed and now - heard[needed - 1] > 2 * self.settings.election):
+        if not (
+            needed and len(heard) >= needed and now - heard[needed - 1] > 2 * self.settings.election_timeout_s
+        ):
             self.unheard.pop(node.id, None)  # a change of members may make it so at once, until its next beat
-        elif now - self.unheard.setdefault(node.id, now) > 3 * self.settings.beat:
+        elif now - self.unheard.setdefault(node.id, now) > 3 * self.settings.heartbeat_interval_s:
             self.found("steps_down", f"{node.id} leads unheard for {now - heard[needed - 1]:.3f} s")
 
-    def applied(self, node: Any, index: int, entry: Entry) -> None:
+    def applied(self, node: Any, index: int, entry: LogEntry) -> None:
         id, known = node.id, self.entries.setdefault(index, entry)
-        self.terms.setdefault(index, node.host.member.term if node.host else 0)
+        self.terms.setdefault(index, node.host.raft.current_term if node.host else 0)
         if index != self.last.get(id, index - 1) + 1:
             self.found("in_order", f"{id} applies entry {index} after {self.last[id]}")
         self.last[id] = index
@@ -173,25 +194,25 @@
 
     def lost(self, node: Any) -> None:
         """Some seconds after a disk lost what it had shown, with all others well."""
-        if node.lost and node.host is not None and node.host.member.role is not Role.BARRED:
-            self.found("lost_disk", f"{node.id} lost what it had shown, and is {node.host.member.role.value}")
+        if node.lost and node.host is not None and node.host.raft.role is not Role.BARRED:
+            self.found("lost_disk", f"{node.id} lost what it had shown, and is {node.host.raft.role.value}")
 
     # Writers
 
-    def operation(self, op: Op, value: Any, put: Put) -> None:
+    def operation(self, op: Op, value: Any, put: PutVersion) -> None:
         self.ops.append(op)
         version = (
             value.version
-            if isinstance(value, (Done, Misused))
+            if isinstance(value, (VersionWritten, RequestIdReused))
             else value.latest
-            if isinstance(value, Conflict)
+            if isinstance(value, VersionConflict)
             else value
         )
         if isinstance(version, Version):
             self.version(version)
-        if isinstance(value, Misused):
+        if isinstance(value, RequestIdReused):
             self.found("once", f"request {put.request} is said to have written another content")
-        elif isinstance(value, Done):
+        elif isinstance(value, VersionWritten):
             self.done[version.number] = version.digest
             if version.request != put.request:
                 self.found("once", f"request {put.request} is told of {version.request}'s version")
@@ -231,22 +252,22 @@
         for at, one in enumerate(ids):
             for other in ids[at + 1 :]:
                 self._matching(one, logs[one], other, logs[other])
-        leaders = [node for node in up if node.host.member.role is Role.LEADER]
+        leaders = [node for node in up if node.host.raft.role is Role.LEADER]
         if len(leaders) != 1:
             return self.found(
                 "well",
                 f"{len(leaders)} lead at the end: "
-                f"{[(node.id, node.host.member.role.value) for node in nodes.values() if node.host]}",
+                f"{[(node.id, node.host.raft.role.value) for node in nodes.values() if node.host]}",
             )
         host = leaders[0].host
         for node in up:
             if (
-                node.id in host.member.members
+                node.id in host.raft.members
                 and not node.lost
-                and node.host.member.applied < host.member.committed - 5
+                and node.host.raft.last_applied < host.raft.commit_index - 5
             ):
                 self.found(
-                    "well", f"{node.id} has applied {node.host.member.applied} of {host.member.committed}"
+                    "well", f"{node.id} has applied {node.host.raft.last_applied} of {host.raft.commit_index}"
                 )
             theirs, mine = node.host.versions, host.versions
             if theirs.latest != len(theirs.by_number) or any(
--- a/foxspread/lab/processes/mutants.py
+++ b/foxspread/lab/processes/mutants.py
@@ -6,115 +6,129 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from foxspread.consensus.core import Member
-from foxspread.consensus.messages import Append, AskVote, Install, Message, Snapshot, Stamp, Write
-from foxspread.consensus.versions import Conflict, Done, Misused, Put, Versions
+from foxspread.consensus.raft import RaftNode
+from foxspread.consensus.messages import AppendEntries, InstallSnapshot, Message, RequestVote
+from foxspread.consensus.records import Snapshot, StorageIdentity, StorageWrite
+from foxspread.consensus.versions import (
+    PutVersion,
+    RequestIdReused,
+    VersionConflict,
+    VersionStore,
+    VersionWritten,
+)
 from foxspread.lab.processes import explorer, virtual
 from foxspread.lab.processes.virtual import LOSSY, Broken, Disk, Plan
 
 
-class VotesTwice(Member):
+class VotesTwice(RaftNode):
     """Forgets at a restart whom it voted for."""
 
     def __init__(self, *told: Any) -> None:
         super().__init__(*told)
-        self.vote = ""
+        self.voted_for = ""
 
 
-class CountsOldTerms(Member):
+class CountsOldTerms(RaftNode):
     """Commits entries of older terms by counting (Raft's figure 8)."""
 
-    def _counts(self, index: int) -> bool:
+    def _may_commit_by_counting(self, index: int) -> bool:
         return True
 
 
-class ReadsUnasked(Member):
+class ReadsUnasked(RaftNode):
     """Answers reads without asking whether it still leads."""
 
-    def _read_holds(self, reading: Any, answered: int) -> bool:
+    def _is_confirmed(self, read: Any, majority_round: int) -> bool:
         return True
 
 
-class ReadsByOldRound(Member):
+class ReadsByOldRound(RaftNode):
     """Takes answers to what it asked before the read for answers to it."""
 
-    def _index_reads(self) -> None:
-        super()._index_reads()
-        for reading in self.reads:
-            if reading.index >= 0:
-                reading.round = reading.round or self.round
+    def _assign_read_indexes(self) -> None:
+        super()._assign_read_indexes()
+        for read in self.pending_reads:
+            if read.read_index is not None:
+                read.required_round = read.required_round or self.heartbeat_round
 
 
-class SendsEarly(Member):
+class SendsEarly(RaftNode):
     """Says what it promises before it is on disk."""
 
-    def _send(self, to: str, message: Message, promises: bool = True) -> None:
-        self._leave(to, message)
+    def _send_when_durable(self, recipient: str, message: Message) -> None:
+        self._send(recipient, message)
 
 
-class ForgetsRemoval(Member):
+class ForgetsRemoval(RaftNode):
     """Takes the members of its file at a restart, not those that were agreed on."""
 
     def __init__(self, now: float, me: str, fleet: str, saved: Any, members: Any, *rest: Any) -> None:
         super().__init__(now, me, fleet, saved, members, *rest)
         if members:
-            self.members, self.members_at = members, 0
+            self.members, self.members_index = members, 0
 
 
-class TakesAnyDisk(Member):
+class TakesAnyDisk(RaftNode):
     """Doesn't look whether a disk is what it was."""
 
-    def _trusted(self, sender: str, stamp: Stamp) -> bool:
+    def _verify_storage(self, sender: str, shown: StorageIdentity) -> bool:
         return True
 
 
-class ElectsOlder(Member):
+class ElectsOlder(RaftNode):
     """Votes for one whose log is behind its own."""
 
-    def _as_new(self, message: AskVote) -> bool:
+    def _is_up_to_date(self, message: RequestVote) -> bool:
         return True
 
 
-class CommitsByFew(Member):
+class CommitsByFew(RaftNode):
     """Takes an entry as committed that one fewer than a majority has."""
 
-    def _needed(self) -> int:
-        return super()._needed() - 1
+    def _commit_quorum(self) -> int:
+        return super()._commit_quorum() - 1
 
 
-class NeverStepsDown(Member):
+class NeverStepsDown(RaftNode):
     """Goes on to lead when nobody answers."""
 
-    def _quorum_heard(self) -> bool:
+    def _has_quorum_contact(self) -> bool:
         return True
 
 
-class CutsLog(Member):
+class CutsLog(RaftNode):
     """Cuts its log behind what each message holds, though a later one came before it."""
 
-    def _append(self, sender: str, message: Append) -> None:
-        super()._append(sender, message)
-        index = message.previous + len(message.entries)
-        if message.term == self.term and self.committed <= index < self.log.last:
-            self.log.replace(index + 1, [])
-            self._write(index + 1, [])
+    def _handle_append_entries(self, sender: str, message: AppendEntries) -> None:
+        super()._handle_append_entries(sender, message)
+        index = message.prev_log_index + len(message.entries)
+        if message.term == self.current_term and self.commit_index <= index < self.log.last_index:
+            self.log.replace_from(index + 1, [])
+            self._persist(index + 1, [])
 
 
-class GoesBack(Member):
+class GoesBack(RaftNode):
     """Takes a snapshot that comes late, though it is further already."""
 
-    def _install(self, sender: str, message: Install) -> None:
-        if message.term == self.term and message.index < self.committed and message.whole and message.at == 0:
-            self._installed(
-                Snapshot(message.index, message.index_term, message.members, message.members_at, message.data)
+    def _handle_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
+        index, late = message.last_included_index, message.term == self.current_term
+        if late and index < self.commit_index and message.done and message.offset == 0:
+            self._install(
+                Snapshot(
+                    index,
+                    message.last_included_term,
+                    message.members,
+                    message.members_index,
+                    message.data,
+                )
             )
-        super()._install(sender, message)
+        super()._handle_install_snapshot(sender, message)
 
 
 class LyingDisk(Disk):
     """Says that it has records before it has them: as an fsync that does nothing."""
 
-    def put(self, node: Any, write: Write) -> None:
+    def put(self, node: Any, write: StorageWrite) -> None:
         super().put(node, write)
         node.world.clock.after(0.0, node.step, lambda host, now: host.confirmed(now, write.number))
 
@@ -122,20 +136,20 @@
 class TornDisk(Disk):
     """Loses the last record of a group, and says that it has all."""
 
-    def apply(self, write: Write) -> None:
+    def apply(self, write: StorageWrite) -> None:
         if len(self.waiting) < 2 or write is not self.waiting[-1]:
             super().apply(write)
 
 
-class ForgetsRequests(Versions):
+class ForgetsRequests(VersionStore):
     """Writes a request that comes again as one that is new."""
 
-    def put(self, put: Put) -> Done | Conflict | Misused:
+    def put(self, put: PutVersion) -> VersionWritten | VersionConflict | RequestIdReused:
         self.by_request.clear()
         return super().put(put)
 
 
-class RestoresPart(Versions):
+class RestoresPart(VersionStore):
     """Loses the first version of a snapshot."""
 
     def restore(self, data: bytes) -> None:
@@ -144,11 +158,11 @@
             self.by_number.pop(next(iter(self.by_number)))
 
 
-class ComparesNothing(Versions):
+class ComparesNothing(VersionStore):
     """Writes whatever version stands there."""
 
-    def put(self, put: Put) -> Done | Conflict | Misused:
-        return super().put(Put(put.request, put.content, -1, put.who, put.why, put.at))
+    def put(self, put: PutVersion) -> VersionWritten | VersionConflict | RequestIdReused:
+        return super().put(PutVersion(put.request, put.content, -1, put.who, put.why, put.at))
 
 
 @dataclass(frozen=True)
--- a/foxspread/lab/processes/real.py
+++ b/foxspread/lab/processes/real.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from foxspread.consensus.client import Reply, call
-from foxspread.consensus.core import Settings
-from foxspread.consensus.versions import Conflict, Done, Put, Version, digest
+from foxspread.consensus.raft import RaftSettings
+from foxspread.consensus.versions import PutVersion, Version, VersionConflict, VersionWritten, digest
 from foxspread.lab.processes.fleet import Child, Fleet
 from foxspread.lab.processes.judge import Judge
 from foxspread.lab.processes.linear import NEVER, Op
@@ -70,7 +70,7 @@
         self.count += 1
         kind = self.chance.choices(("put", "set", "get"), (3, 3, 4))[0]
         called, writers = self.play.now(), self.play.scenario.writers
-        put = Put(
+        put = PutVersion(
             f"{self.name}-{self.count}",
             CONTENT.format(name=f"{self.name} {self.count}").encode(),
             self.seen if kind == "set" else -1,
@@ -122,7 +122,7 @@
         if value["status"] == "conflict":
             latest = version(value["latest"]) if value.get("latest") else None
             self.seen = latest.number if latest else 0
-            return replace(told, kind="conflict", answered=now, number=self.seen, digest=""), Conflict(
+            return replace(told, kind="conflict", answered=now, number=self.seen, digest=""), VersionConflict(
                 told.if_version, latest
             )
         self.seen = found.number if found else 0
@@ -136,13 +136,13 @@
                 if_version=-1,
             ), found
         self.play.done_at.append(now)
-        return replace(told, kind="put", answered=now, number=self.seen), Done(found)
+        return replace(told, kind="put", answered=now, number=self.seen), VersionWritten(found)
 
 
 class Play:
     def __init__(self, scenario: Scenario, seed: int, mutant: str = "") -> None:
         self.scenario, self.seed = scenario, seed
-        self.judge = Judge(Settings(scenario.beat, scenario.election))
+        self.judge = Judge(RaftSettings(scenario.beat, scenario.election))
         self.fleet = Fleet(scenario, seed, self.judge.passed, mutant)
         self.chance = self.fleet.rng("faults")
         self.over, self.begun = False, time.monotonic()
--- a/foxspread/lab/processes/scenario.py
+++ b/foxspread/lab/processes/scenario.py
@@ -66,7 +66,7 @@
             writers=self.writers.count,
             faults=tuple(each for each in kinds if each in virtual.FAULTS),
             lossy=tuple(self.drawn.lossy),
-            settings=virtual.Settings(self.beat, self.election),
+            settings=virtual.RaftSettings(self.beat, self.election),
         )
 
 
