--- a/foxspread/lab/processes/virtual.py
+++ b/foxspread/lab/processes/virtual.py
@@ -14,10 +14,19 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from foxspread.consensus.coordinator import Answer, Coordinator, Out, Status
-from foxspread.consensus.core import Contradiction, Member, Role, Settings
-from foxspread.consensus.messages import Envelope, Members, Saved, Seat, Snapshot, Write
-from foxspread.consensus.versions import Conflict, Done, Put, Version, Versions, digest
+from foxspread.consensus.coordinator import Answer, Coordinator, Outputs, Status
+from foxspread.consensus.errors import InvariantViolation
+from foxspread.consensus.raft import RaftNode, RaftSettings, Role
+from foxspread.consensus.messages import Envelope
+from foxspread.consensus.records import MemberAddress, Members, Snapshot, StorageWrite, StoredState
+from foxspread.consensus.versions import (
+    PutVersion,
+    Version,
+    VersionConflict,
+    VersionStore,
+    VersionWritten,
+    digest,
+)
 from foxspread.lab.world.clock import Clock
 from foxspread.lab.processes.judge import Judge
 from foxspread.lab.processes.linear import NEVER, Op
@@ -60,15 +69,15 @@
     most: int = 6  # faults of a run
     long: float = 0.15  # the share of puts with long contents
     compact_bytes: tuple[int, ...] = (2_000, 20_000, 1_000_000)  # one of these
-    settings: Settings = Settings()
+    settings: RaftSettings = RaftSettings()
 
 
 @dataclass
 class Broken:
     """Parts that the lab puts in place of the sound ones."""
 
-    member: type[Member] = Member
-    versions: type[Versions] = Versions
+    member: type[RaftNode] = RaftNode
+    versions: type[VersionStore] = VersionStore
     disk: type["Disk"] | None = None
 
 
@@ -76,8 +85,12 @@
     """Tells the judge what was applied."""
 
     def __init__(self, node: "Node", *rest: Any) -> None:
-        self.kind, self.versions_kind, self.node = node.world.broken.member, node.world.broken.versions, node
-        self.compact_bytes = node.world.compact_bytes
+        self.node_type, self.store_type, self.node = (
+            node.world.broken.member,
+            node.world.broken.versions,
+            node,
+        )
+        self.min_compaction_bytes = node.world.compact_bytes
         super().__init__(*rest)
 
     def _applied(self, index: int, entry: Any) -> None:
@@ -94,16 +107,16 @@
 
     def __init__(self, world: "World", chance: random.Random) -> None:
         self.world, self.chance = world, chance
-        self.saved = Saved(f"{chance.getrandbits(48):012x}", 0)
-        self.waiting: list[Write] = []
+        self.saved = StoredState(f"{chance.getrandbits(48):012x}", 0)
+        self.waiting: list[StorageWrite] = []
         self.slow, self.fails = 1.0, False
 
-    def start(self) -> Saved:
+    def start(self) -> StoredState:
         self.waiting = []
         self.saved.generation += 1
         return copy.copy(self.saved)
 
-    def put(self, node: "Node", write: Write) -> None:
+    def put(self, node: "Node", write: StorageWrite) -> None:
         self.waiting.append(write)
         if len(self.waiting) == 1:
             self._next(node)
@@ -112,7 +125,7 @@
         seconds = self.chance.uniform(0.0002, 0.004) * self.slow
         self.world.clock.after(seconds, self._done, node, node.run, list(self.waiting))
 
-    def _done(self, node: "Node", run: int, group: list[Write]) -> None:
+    def _done(self, node: "Node", run: int, group: list[StorageWrite]) -> None:
         """A group is on disk together, as with one fsync."""
         if run != node.run or node.down:
             return
@@ -129,7 +142,7 @@
             self._next(node)
         node.step(lambda host, now: host.confirmed(now, group[-1].number))
 
-    def apply(self, write: Write) -> None:
+    def apply(self, write: StorageWrite) -> None:
         self.saved.entries = list(self.saved.entries)
         self.saved.apply(write)
 
@@ -150,7 +163,7 @@
         self.stalled: list[Callable[[], None]] | None = None
         self.wake: int | None = None
         self.host: Watched | None = None
-        self.copies: list[Saved] = []  # earlier states of its disk
+        self.copies: list[StoredState] = []  # earlier states of its disk
 
     def local(self) -> float:
         return self.offset + self.rate * self.world.now
@@ -198,7 +211,7 @@
         self.step(lambda host, now: host.tick(now))
 
     def drain(self) -> None:
-        out: Out = self.host.take(self.local())
+        out: Outputs = self.host.take(self.local())
         for write in out.writes:
             self.disk.put(self, write)
         for message in out.messages:
@@ -224,7 +237,7 @@
                 self.step(lambda host, now: host.tick(now))
 
     def wipe(self) -> None:
-        self.disk.saved = Saved(f"{self.chance.getrandbits(48):012x}", 0)
+        self.disk.saved = StoredState(f"{self.chance.getrandbits(48):012x}", 0)
 
 
 class Writer:
@@ -244,7 +257,7 @@
         content = self.world.content(self)
         if self.chance.random() < self.world.plan.long:
             content += b"#" + b"." * self.chance.choice((3_000, 30_000))
-        put = Put(f"{self.id}-{self.count}", content, self.seen if kind == "set" else -1, self.id)
+        put = PutVersion(f"{self.id}-{self.count}", content, self.seen if kind == "set" else -1, self.id)
         self.op = {
             "get": kind == "get",
             "put": put,
@@ -305,10 +318,10 @@
                 self.seen = number
             else:
                 told = None
-        elif isinstance(value, Done):
+        elif isinstance(value, VersionWritten):
             told = replace(told, kind="put", answered=now, number=value.version.number)
             self.seen = value.version.number
-        elif isinstance(value, Conflict):
+        elif isinstance(value, VersionConflict):
             self.seen = value.latest.number if value.latest else 0
             told = replace(told, kind="conflict", answered=now, number=self.seen, digest="")
         if told is not None:
@@ -324,11 +337,11 @@
         self.plan, self.seed, self.broken = plan, seed, broken or Broken()
         self.clock, self.chance = Clock(), self.rng("world")
         if self.chance.random() < 0.3:
-            self.plan = plan = replace(plan, settings=replace(plan.settings, batch=1))
+            self.plan = plan = replace(plan, settings=replace(plan.settings, batch_bytes=1))
         self.compact_bytes = self.chance.choice(plan.compact_bytes)
         self.ids = [f"c{at}" for at in range(1, plan.members + 1)]
         self.judge = Judge(plan.settings)
-        members = {each: Seat(f"{each}:1") for each in self.ids}
+        members = {each: MemberAddress(f"{each}:1") for each in self.ids}
         self.nodes = {each: Node(self, each, self.rng(each), members) for each in self.ids}
         self.writers = [Writer(self, f"w{at}", self.rng(f"w{at}")) for at in range(plan.writers)]
         self.tokens: dict[int, tuple[Any, int]] = {}
@@ -363,13 +376,13 @@
     def post(self, node: Node, message: Envelope) -> None:
         self.judge.posted(node, message)
         for _ in range(2 if self.chance.random() < self.repeat else 1):
-            if not self.cut.get((message.sender, message.to)) and self.chance.random() >= self.loss:
+            if not self.cut.get((message.sender, message.recipient)) and self.chance.random() >= self.loss:
                 self.clock.after(self.delay(), self._arrives, message)
 
     def _arrives(self, message: Envelope) -> None:
-        if not self.cut.get((message.sender, message.to)) and message.to in self.nodes:
+        if not self.cut.get((message.sender, message.recipient)) and message.recipient in self.nodes:
             self.judge.arrived(message)
-            self.nodes[message.to].step(lambda host, now: host.receive(now, message))
+            self.nodes[message.recipient].step(lambda host, now: host.receive(now, message))
 
     def answer(self, node: Node, answer: Answer) -> None:
         if self.chance.random() >= self.loss:
@@ -426,7 +439,7 @@
         return self.played()
 
     def _scripted(self, kind: str, lasts: float, who: str) -> None:
-        leads = [id for id, node in self.nodes.items() if node.host and node.host.member.role is Role.LEADER]
+        leads = [id for id, node in self.nodes.items() if node.host and node.host.raft.role is Role.LEADER]
         one = {"leader": leads, "follower": [each for each in self.ids if each not in leads]}.get(who, [who])[
             0
         ]
@@ -436,9 +449,7 @@
             self.befalls(kind, lasts, one)
 
     def befalls(self, kind: str, lasts: float, of: str = "") -> None:
-        leaders = [
-            id for id, node in self.nodes.items() if node.host and node.host.member.role is Role.LEADER
-        ]
+        leaders = [id for id, node in self.nodes.items() if node.host and node.host.raft.role is Role.LEADER]
         one = of or (
             self.chance.choice(leaders)
             if leaders and self.chance.random() < 0.5
@@ -488,7 +499,7 @@
             node.rate = self.chance.choice((0.98, 1.02))
             node.offset = local - node.rate * self.now
         elif kind == "hand_over":
-            node.step(lambda host, now: host.hand_over(now, 0, self.chance.choice(self.ids)))
+            node.step(lambda host, now: host.transfer_leadership(now, 0, self.chance.choice(self.ids)))
         elif kind == "replace":
             if (
                 not node.replacing
@@ -508,14 +519,16 @@
     def _lossy(self, kind: str, one: str) -> None:
         node = self.nodes[one]
         self.told.append(f"{self.now:.3f} {kind} {one}")
-        earlier = Saved(**{name: getattr(node.disk.saved, name) for name in Saved.__struct_fields__})
+        earlier = StoredState(
+            **{name: getattr(node.disk.saved, name) for name in StoredState.__struct_fields__}
+        )
         self.clock.after(
             0.0 if kind == "wipe" else self.chance.uniform(0.4, 2.0), self._lose, kind, node, earlier
         )
 
-    def _lose(self, kind: str, node: Node, earlier: Saved) -> None:
+    def _lose(self, kind: str, node: Node, earlier: StoredState) -> None:
         node.kill()
-        node.lost = kind == "wipe" or earlier.count < node.disk.saved.count
+        node.lost = kind == "wipe" or earlier.writes < node.disk.saved.writes
         if kind == "wipe":
             node.wipe()
         else:
@@ -539,7 +552,7 @@
             self.clock.run(round(self.plan.seconds * 1e6))
             self.whole()
             self.clock.run(end)
-        except Contradiction as error:
+        except InvariantViolation as error:
             self.judge.found("contradiction", str(error))
         self.judge.ended(self.nodes)
         return self.judge
@@ -555,7 +568,7 @@
                 node.start()
             elif node.stalled is not None:
                 node.resume()
-            elif node.host.member.role is Role.BARRED and not node.lost:
+            elif node.host.raft.role is Role.BARRED and not node.lost:
                 node.kill()
                 node.start()
 
@@ -589,13 +602,13 @@
             (
                 each
                 for each in self.world.nodes.values()
-                if each.host and each.host.member.role is Role.LEADER and each is not self.node
+                if each.host and each.host.raft.role is Role.LEADER and each is not self.node
             ),
             None,
         )
         if leader is not None:
             address = f"{self.node.id}:1" if self.adding else None
-            leader.step(lambda host, now: host.change(now, token, self.node.id, address))
+            leader.step(lambda host, now: host.change_membership(now, token, self.node.id, address))
         self.world.clock.after(0.4, self._late, self.tries)
 
     def _late(self, tries: int) -> None:
--- a/tests/cli/test_coordinator.py
+++ b/tests/cli/test_coordinator.py
@@ -12,7 +12,7 @@
 
 from foxspread.cli.main import foxspread
 from foxspread.config import ConfigError
-from foxspread.consensus import file as files
+from foxspread.consensus import configuration as files
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.scenario import Scenario
 
--- a/tests/consensus/test_core.py
+++ b/tests/consensus/test_core.py
@@ -3,32 +3,35 @@
 import unittest
 from unittest import mock
 
-from foxspread.consensus import clock, messages
-from foxspread.consensus.coordinator import CALLS_MOST, Coordinator, Status
-from foxspread.consensus.core import LEGAL, Contradiction, Member, Refused, Role, Settings
-from foxspread.consensus.messages import (
-    FORMAT,
-    Append,
-    Envelope,
-    Foreign,
-    Hello,
-    Saved,
-    Seat,
-    Stamp,
-    encoded,
+from foxspread.consensus import clock, wire
+from foxspread.consensus.coordinator import Coordinator, MAX_PENDING_CALLS, Status
+from foxspread.consensus.errors import InvariantViolation, RequestRejected
+from foxspread.consensus.raft import LEGAL_TRANSITIONS, RaftNode, RaftSettings, Role
+from foxspread.consensus.errors import ForeignMessageError
+from foxspread.consensus.messages import AppendEntries, Envelope, StorageCheck
+from foxspread.consensus.records import MemberAddress, StorageIdentity, StoredState
+from foxspread.consensus.wire import FORMAT, encode
+from foxspread.consensus.versions import (
+    PutVersion,
+    RequestIdReused,
+    VersionConflict,
+    VersionStore,
+    VersionWritten,
+    digest,
 )
-from foxspread.consensus.versions import Conflict, Done, Misused, Put, Versions, digest
 
-STAMP = Stamp("other", 1, "run", 0, 0)
+STAMP = StorageIdentity("other", 1, "run", 0, 0)
 
 
 def alone() -> Coordinator:
     """A fleet of one, which leads."""
-    host = Coordinator(0.0, "c1", "lab", Saved("i", 1), {"c1": Seat("a:1")}, Settings(), lambda: 0.5)
+    host = Coordinator(
+        0.0, "c1", "lab", StoredState("i", 1), {"c1": MemberAddress("a:1")}, RaftSettings(), lambda: 0.5
+    )
     saved(host, 0.0)
     host.tick(1.0)
     saved(host, 1.0)
-    assert host.member.role is Role.LEADER
+    assert host.raft.role is Role.LEADER
     return host
 
 
@@ -45,32 +48,40 @@
 
 class TestCore(unittest.TestCase):
     def test_only_legal_transitions(self) -> None:
-        self.assertEqual(set(LEGAL), set(Role))
-        member = Member(
-            0.0, "c1", "lab", Saved("i", 1), {each: Seat(each) for each in "abc"}, Settings(), lambda: 0.5
+        self.assertEqual(set(LEGAL_TRANSITIONS), set(Role))
+        member = RaftNode(
+            0.0,
+            "c1",
+            "lab",
+            StoredState("i", 1),
+            {each: MemberAddress(each) for each in "abc"},
+            RaftSettings(),
+            lambda: 0.5,
         )
-        with self.assertRaisesRegex(Contradiction, "from starting to leader in term 0"):
-            member._become(Role.LEADER)
+        with self.assertRaisesRegex(InvariantViolation, "from starting to leader in term 0"):
+            member._transition_to(Role.LEADER)
 
     def test_two_leaders_of_a_term_are_a_contradiction(self) -> None:
         host = alone()
-        with self.assertRaisesRegex(Contradiction, "c1 and c2 both lead term 1"):
-            host.receive(2.0, Envelope("lab", FORMAT, "c2", "c1", STAMP, Append(1, 0, 0, [], 0, 0)))
+        with self.assertRaisesRegex(InvariantViolation, "c1 and c2 both lead term 1"):
+            host.receive(2.0, Envelope("lab", FORMAT, "c2", "c1", STAMP, AppendEntries(1, 0, 0, [], 0, 0)))
 
     def test_too_much_is_turned_away_at_once(self) -> None:
         host = alone()
         for at in range(600):
-            host.put(2.0, at, Put(f"r{at}", b"x"))
+            host.put(2.0, at, PutVersion(f"r{at}", b"x"))
         told = [each for each in host.take(2.0).answers]
-        self.assertEqual({each.status for each in told}, {Status.REFUSED})
+        self.assertEqual({each.status for each in told}, {Status.REJECTED})
         self.assertEqual((len(told), told[0].value), (600 - 512, "512 entries wait already"))
-        for at in range(1000, 1000 + CALLS_MOST):
+        for at in range(1000, 1000 + MAX_PENDING_CALLS):
             host.get(2.0, at)
-        self.assertIn(f"{CALLS_MOST} calls wait already", {each.value for each in host.take(2.0).answers})
+        self.assertIn(
+            f"{MAX_PENDING_CALLS} calls wait already", {each.value for each in host.take(2.0).answers}
+        )
 
     def test_what_is_not_known_is_said_within_the_patience(self) -> None:
         host = alone()
-        host.put(2.0, 1, Put("r", b"x"))
+        host.put(2.0, 1, PutVersion("r", b"x"))
         host.take(2.0)  # and its disk never answers
         host.tick(3.9)
         self.assertEqual(host.take(3.9).answers, [])
@@ -81,14 +92,14 @@
 
     def test_ten_thousand_versions_then_a_fresh_member(self) -> None:
         host = alone()
-        host.compact_bytes = 200_000
+        host.min_compaction_bytes = 200_000
         for at in range(10_000):
-            host.put(2.0, at, Put(f"r{at}", b"content %d" % at))
+            host.put(2.0, at, PutVersion(f"r{at}", b"content %d" % at))
             saved(host, 2.0)
         self.assertEqual(host.versions.latest, 10_000)
-        self.assertLess(len(host.member.log.entries), 10_000)
-        fresh = Coordinator(2.0, "c2", "lab", Saved("j", 1), {}, Settings(), lambda: 0.5)
-        host.change(2.0, 20_000, "c2", "a:2")
+        self.assertLess(len(host.raft.log.entries), 10_000)
+        fresh = Coordinator(2.0, "c2", "lab", StoredState("j", 1), {}, RaftSettings(), lambda: 0.5)
+        host.change_membership(2.0, 20_000, "c2", "a:2")
         for beat in range(400):
             now = 2.0 + beat / 10
             for one, other in ((host, fresh), (fresh, host)):
@@ -101,37 +112,40 @@
                         other.receive(now, envelope)
                     out = one.take(now)
         self.assertEqual(fresh.versions.by_number, host.versions.by_number)
-        self.assertEqual(host.member.members["c2"].voter, True)
+        self.assertEqual(host.raft.members["c2"].voter, True)
 
     def test_refusals_say_why(self) -> None:
         host = alone()
         saved(host, 1.0)
         for call, text in (
-            (lambda: host.member.change(2.0, "c1", None), "'c1' is the last that votes"),
-            (lambda: host.member.change(2.0, "c9", None), "'c9' is no member"),
-            (lambda: host.member.change(2.0, "c1", "a:2"), "'c1' is a member already"),
-            (lambda: host.member.hand_over(2.0, "c1"), "'c1' is no other member that votes"),
+            (lambda: host.raft.change_membership(2.0, "c1", None), "'c1' is the last that votes"),
+            (lambda: host.raft.change_membership(2.0, "c9", None), "'c9' is no member"),
+            (lambda: host.raft.change_membership(2.0, "c1", "a:2"), "'c1' is a member already"),
+            (lambda: host.raft.transfer_leadership(2.0, "c1"), "'c1' is no other member that votes"),
         ):
-            with self.subTest(text), self.assertRaisesRegex(Refused, text):
+            with self.subTest(text), self.assertRaisesRegex(RequestRejected, text):
                 call()
-        host.member.change(2.0, "c2", "a:2")
-        with self.assertRaisesRegex(Refused, "a change of members is under way"):
-            host.member.change(2.0, "c3", "a:3")
+        host.raft.change_membership(2.0, "c2", "a:2")
+        with self.assertRaisesRegex(RequestRejected, "a change of members is under way"):
+            host.raft.change_membership(2.0, "c3", "a:3")
 
     def test_envelopes_of_others_are_refused_by_name(self) -> None:
-        sound = Envelope("lab", FORMAT, "c2", "c1", STAMP, Hello())
-        self.assertEqual(messages.envelope(encoded(sound), "lab", "c1"), sound)
+        sound = Envelope("lab", FORMAT, "c2", "c1", STAMP, StorageCheck())
+        self.assertEqual(wire.decode_for(encode(sound), "lab", "c1"), sound)
         for data, text in (
-            (encoded(Envelope("x", FORMAT, "c2", "c1", STAMP, Hello())), "fleet 'x', this one is 'lab'"),
-            (encoded(Envelope("lab", 9, "c2", "c1", STAMP, Hello())), "format 9, this member speaks 1"),
-            (encoded(Envelope("lab", FORMAT, "c2", "c3", STAMP, Hello())), "addressed to 'c3'"),
-            (encoded(["lab", FORMAT, "c2", "c1", 3]), "can't be read"),
+            (
+                encode(Envelope("x", FORMAT, "c2", "c1", STAMP, StorageCheck())),
+                "fleet 'x', this one is 'lab'",
+            ),
+            (encode(Envelope("lab", 9, "c2", "c1", STAMP, StorageCheck())), "format 9, this member speaks 1"),
+            (encode(Envelope("lab", FORMAT, "c2", "c3", STAMP, StorageCheck())), "addressed to 'c3'"),
+            (encode(["lab", FORMAT, "c2", "c1", 3]), "can't be read"),
             (b"\xc1garbage", "no message of ours"),
             (b"", "no message of ours"),
-            (encoded(3), "no message of ours"),
+            (encode(3), "no message of ours"),
         ):
-            with self.subTest(text), self.assertRaisesRegex(Foreign, text):
-                messages.envelope(data, "lab", "c1")
+            with self.subTest(text), self.assertRaisesRegex(ForeignMessageError, text):
+                wire.decode_for(data, "lab", "c1")
 
     def test_the_clock_goes_on_while_the_machine_is_suspended(self) -> None:
         asked = []
@@ -145,26 +159,26 @@
 
 class TestVersions(unittest.TestCase):
     def test_compare_and_set_and_repeats(self) -> None:
-        versions = Versions()
-        first = versions.put(Put("r1", b"one", 0, "a", "why"))
+        versions = VersionStore()
+        first = versions.put(PutVersion("r1", b"one", 0, "a", "why"))
         self.assertEqual((first.version.number, first.version.digest), (1, digest(b"one")))
-        self.assertEqual(versions.put(Put("r1", b"one", 0)), first)
-        self.assertEqual(versions.put(Put("r1", b"other")), Misused(first.version))
-        self.assertEqual(versions.put(Put("r2", b"two", 0)), Conflict(0, first.version))
-        self.assertEqual(versions.put(Put("r3", b"two", 1)).version.follows, 1)
-        again = Versions()
+        self.assertEqual(versions.put(PutVersion("r1", b"one", 0)), first)
+        self.assertEqual(versions.put(PutVersion("r1", b"other")), RequestIdReused(first.version))
+        self.assertEqual(versions.put(PutVersion("r2", b"two", 0)), VersionConflict(0, first.version))
+        self.assertEqual(versions.put(PutVersion("r3", b"two", 1)).version.follows, 1)
+        again = VersionStore()
         again.restore(versions.saved())
         self.assertEqual(
             (again.by_number, again.by_request, again.latest), (versions.by_number, versions.by_request, 2)
         )
-        self.assertIsInstance(again.put(Put("r1", b"one")), Done)
+        self.assertIsInstance(again.put(PutVersion("r1", b"one")), VersionWritten)
 
     def test_old_ones_go(self) -> None:
-        with mock.patch("foxspread.consensus.versions.KEPT", 3):
-            versions = Versions()
+        with mock.patch("foxspread.consensus.versions.MAX_VERSIONS", 3):
+            versions = VersionStore()
             for at in range(5):
-                versions.put(Put(f"r{at}", b"x"))
+                versions.put(PutVersion(f"r{at}", b"x"))
         self.assertEqual(
             (sorted(versions.by_number), len(versions.by_request), versions.get(1)), ([3, 4, 5], 3, None)
         )
-        self.assertEqual(versions.put(Put("r9", b"x")).version.number, 6)
+        self.assertEqual(versions.put(PutVersion("r9", b"x")).version.number, 6)
--- a/tests/consensus/test_hard_cases.py
+++ b/tests/consensus/test_hard_cases.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from foxspread.consensus.core import Role
+from foxspread.consensus.raft import Role
 from foxspread.lab.processes.virtual import Plan, World
 
 PLAN = Plan(seconds=7.0, settle=4.0)
@@ -63,7 +63,7 @@
                 terms = []
                 for at in (1.9, 6.9):
                     world.clock.after(
-                        at, lambda: terms.append(max(n.host.member.term for n in world.nodes.values()))
+                        at, lambda: terms.append(max(n.host.raft.current_term for n in world.nodes.values()))
                     )
                 judge = world.follow([(2.0, kind, 4.5, "follower")])
                 self.assertEqual((judge.faults, terms[1] - terms[0]), ([], 0))
@@ -71,8 +71,8 @@
     def test_one_that_is_added_while_nobody_writes_catches_up_and_votes(self) -> None:
         world = World(replace(PLAN, writers=0), 4)
         world.follow([(2.0, "replace", 0.0, "c2")])
-        seats = {node.host.member.members["c2"] for node in world.nodes.values()}
-        self.assertEqual([(seat.voter, seat.since > 0) for seat in seats], [(True, True)])
+        seats = {node.host.raft.members["c2"] for node in world.nodes.values()}
+        self.assertEqual([(seat.voter, seat.added_at > 0) for seat in seats], [(True, True)])
 
     def test_one_that_was_removed_asks_for_votes_in_vain(self) -> None:
         world = World(PLAN, 2)
@@ -80,16 +80,16 @@
 
         def remove() -> None:
             for node in world.nodes.values():
-                if node.host.member.role is Role.LEADER:
-                    node.step(lambda host, now: host.change(now, world.token(None, 0), "c3", None))
+                if node.host.raft.role is Role.LEADER:
+                    node.step(lambda host, now: host.change_membership(now, world.token(None, 0), "c3", None))
 
         world.clock.after(2.0, remove)
         world.clock.after(2.4, remove)  # where it has just been elected, it refuses the first
         judge = world.follow([])
-        terms = {node.host.member.term for node in world.nodes.values()}
+        terms = {node.host.raft.current_term for node in world.nodes.values()}
         self.assertEqual([fault.rule for fault in judge.faults], [])
-        self.assertEqual((len(terms), gone.host.member.role), (1, Role.BARRED))
-        self.assertIn("was removed", gone.host.member.barred)
+        self.assertEqual((len(terms), gone.host.raft.role), (1, Role.BARRED))
+        self.assertIn("was removed", gone.host.raft.barred_reason)
 
     def test_a_wiped_member_does_not_vote_and_says_why(self) -> None:
         for at, kind, text in (
@@ -101,4 +101,4 @@
                 world.clock.after(at, lambda: found.append(world.nodes["c2"].host))
                 judge = world.follow([(2.0, kind, 0.0, "c2")])
                 self.assertEqual(judge.faults, [])
-                self.assertIn(text, found[0].member.barred)
+                self.assertIn(text, found[0].raft.barred_reason)
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -12,7 +12,9 @@
 from typing import Any
 
 from foxspread.consensus.client import call
-from foxspread.consensus.messages import FORMAT, Envelope, Hello, Stamp, encoded
+from foxspread.consensus.messages import Envelope, StorageCheck
+from foxspread.consensus.records import StorageIdentity
+from foxspread.consensus.wire import FORMAT, encode
 from foxspread.lab.processes import real
 from foxspread.lab.processes.fleet import Child
 from foxspread.lab.processes.real import CONTENT, ERRORS, Play
@@ -187,10 +189,10 @@
     @with_fleet
     async def test_strangers_and_garbage_are_refused_and_counted(self, play: Play) -> None:
         leader, rest = await self.sides(play)
-        stamp = Stamp("x", 1, "y", 0, 0)
+        stamp = StorageIdentity("x", 1, "y", 0, 0)
         for body, text in (
-            (encoded(Envelope("other", FORMAT, "c2", leader.name, stamp, Hello())), b"fleet 'other'"),
-            (encoded(Envelope("lab", 7, "c2", leader.name, stamp, Hello())), b"format 7"),
+            (encode(Envelope("other", FORMAT, "c2", leader.name, stamp, StorageCheck())), b"fleet 'other'"),
+            (encode(Envelope("lab", 7, "c2", leader.name, stamp, StorageCheck())), b"format 7"),
             (b"\xc1", b"no message of ours"),
             (b"x" * 70_000, b"a body of more than"),
         ):
--- a/tests/consensus/test_disk.py
+++ b/tests/consensus/test_storage.py
@@ -7,15 +7,24 @@
 import threading
 import unittest
 
-from foxspread.consensus.disk import FILE, Disk, DiskError
-from foxspread.consensus.messages import Entry, Known, Saved, Seat, Snapshot, Stamp, Write
-
-KNOWN = {"c2": Known(Stamp("i2", 1, "r", 0, 5), 0)}
+from foxspread.consensus.errors import StorageError
+from foxspread.consensus.storage import FILE, Storage
+from foxspread.consensus.records import (
+    LogEntry,
+    MemberAddress,
+    ObservedStorage,
+    Snapshot,
+    StorageIdentity,
+    StorageWrite,
+    StoredState,
+)
+
+KNOWN = {"c2": ObservedStorage(StorageIdentity("i2", 1, "r", 0, 5), 0)}
 WRITES = [
-    Write(1, 1, "", {}, {}, "", snapshot=Snapshot(members={"c1": Seat("a:1")})),
-    Write(2, 1, "c2", KNOWN, {}, ""),
-    Write(3, 1, "c2", KNOWN, {}, "", 1, [Entry(1, b"a"), Entry(1, b"b"), Entry(1, b"c")]),
-    Write(
+    StorageWrite(1, 1, "", {}, {}, "", snapshot=Snapshot(members={"c1": MemberAddress("a:1")})),
+    StorageWrite(2, 1, "c2", KNOWN, {}, ""),
+    StorageWrite(3, 1, "c2", KNOWN, {}, "", 1, [LogEntry(1, b"a"), LogEntry(1, b"b"), LogEntry(1, b"c")]),
+    StorageWrite(
         4,
         2,
         "",
@@ -23,12 +32,12 @@
         {"c9": "i9"},
         "",
         2,
-        [Entry(2, b"d"), Entry(2, members={"c1": Seat("a:1", False, 2)})],
+        [LogEntry(2, b"d"), LogEntry(2, members={"c1": MemberAddress("a:1", False, 2)})],
     ),
-    Write(5, 2, "", {}, {}, "", snapshot=Snapshot(2, 2, {"c1": Seat("a:1")}, 0, b"all")),
-    Write(6, 2, "", {}, {}, "", 4, [Entry(2, b"e")]),
-    Write(7, 3, "", {}, {}, "barred", snapshot=Snapshot(9, 3, {}, 0, b"more"), kept=False),
-    Write(8, 3, "", {}, {}, "", 10, [Entry(3, b"f")]),
+    StorageWrite(5, 2, "", {}, {}, "", snapshot=Snapshot(2, 2, {"c1": MemberAddress("a:1")}, 0, b"all")),
+    StorageWrite(6, 2, "", {}, {}, "", 4, [LogEntry(2, b"e")]),
+    StorageWrite(7, 3, "", {}, {}, "barred", snapshot=Snapshot(9, 3, {}, 0, b"more"), keep_log_suffix=False),
+    StorageWrite(8, 3, "", {}, {}, "", 10, [LogEntry(3, b"f")]),
 ]
 
 
@@ -37,10 +46,10 @@
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder, ignore_errors=True)
 
-    def disk(self, fleet: str = "lab", member: str = "c1") -> Disk:
-        return Disk(self.folder, fleet, member, "identity")
+    def disk(self, fleet: str = "lab", member: str = "c1") -> Storage:
+        return Storage(self.folder, fleet, member, "identity")
 
-    def put(self, disk: Disk, writes: list[Write]) -> list[object]:
+    def put(self, disk: Storage, writes: list[StorageWrite]) -> list[object]:
         """What the disk says, once all are done or one has failed."""
         told, over = [], threading.Event()
 
@@ -53,9 +62,9 @@
             told.append(why)
             over.set()
 
-        disk.done, disk.failed = done, failed
+        disk.on_durable, disk.on_failure = done, failed
         for write in writes:
-            disk.put(write)
+            disk.write(write)
         if writes:
             self.assertTrue(over.wait(10))
         return told
@@ -64,11 +73,11 @@
         for count in range(len(WRITES) + 1):
             with self.subTest(count):
                 shutil.rmtree(self.folder)
-                wanted = Saved("identity", 2)
+                wanted = StoredState("identity", 2)
                 for write in WRITES[:count]:
                     wanted.apply(write)
                 disk = self.disk()
-                self.assertEqual(disk.open(), Saved("identity", 1))
+                self.assertEqual(disk.open(), StoredState("identity", 1))
                 told = self.put(disk, WRITES[:count])
                 self.assertEqual(told[-1:], [WRITES[count - 1].number] if count else [])
                 disk.close()
@@ -90,16 +99,16 @@
             if number == 8:
                 over.set()
 
-        disk.done = note
+        disk.on_durable = note
         for write in WRITES:
-            disk.put(write)
+            disk.write(write)
         self.assertTrue(over.wait(10))
         disk.close()
         for number, folder in kept:
-            wanted = Saved("identity", 2)
+            wanted = StoredState("identity", 2)
             for write in WRITES[:number]:
                 wanted.apply(write)
-            copy = Disk(folder, "lab", "c1", "x")
+            copy = Storage(folder, "lab", "c1", "x")
             self.assertEqual(copy.open(), wanted)
             copy.close()
             shutil.rmtree(pathlib.Path(folder).parent)
@@ -107,13 +116,13 @@
     def test_refused_by_name_and_left_as_it_was(self) -> None:
         disk = self.disk()
         disk.open()
-        with self.assertRaisesRegex(DiskError, "another process uses it"):
+        with self.assertRaisesRegex(StorageError, "another process uses it"):
             self.disk().open()
         self.put(disk, WRITES[:3])
         disk.close()
-        with self.assertRaisesRegex(DiskError, "its member is 'c1', not 'c2'"):
+        with self.assertRaisesRegex(StorageError, "its member is 'c1', not 'c2'"):
             self.disk(member="c2").open()
-        with self.assertRaisesRegex(DiskError, "its fleet is 'lab', not 'other'"):
+        with self.assertRaisesRegex(StorageError, "its fleet is 'lab', not 'other'"):
             self.disk("other").open()
         file = pathlib.Path(self.folder, FILE)
         for statement, text in (
@@ -126,17 +135,17 @@
                 with sqlite3.connect(file) as database:
                     database.execute(statement)
                 database.close()
-                with self.assertRaisesRegex(DiskError, text):
+                with self.assertRaisesRegex(StorageError, text):
                     self.disk().open()
                 for each in pathlib.Path(self.folder).iterdir():
                     each.unlink()
                 file.write_bytes(sound)
         file.write_bytes(b"not a database" * 100)
-        with self.assertRaisesRegex(DiskError, "not a database"):
+        with self.assertRaisesRegex(StorageError, "not a database"):
             self.disk().open()
         self.assertEqual(file.read_bytes()[:14], b"not a database")
-        with self.assertRaises(DiskError):
-            Disk("/proc/nowhere", "lab", "c1", "x").open()
+        with self.assertRaises(StorageError):
+            Storage("/proc/nowhere", "lab", "c1", "x").open()
 
     def test_a_write_that_failed_is_final(self) -> None:
         disk = self.disk()
@@ -149,12 +158,12 @@
         disk.sync = fail
         self.assertEqual(self.put(disk, WRITES[2:3]), ["disk I/O error"])
         del disk.sync
-        disk.done = lambda number: self.fail("it goes on to write")
-        disk.put(WRITES[3])
+        disk.on_durable = lambda number: self.fail("it goes on to write")
+        disk.write(WRITES[3])
         disk.thread.join(10)
         self.assertFalse(disk.thread.is_alive())
         disk.database.close()
-        wanted = Saved("identity", 2)
+        wanted = StoredState("identity", 2)
         for write in WRITES[:2]:
             wanted.apply(write)
         again = self.disk()
--- a/tests/consensus/test_wire_bytes.py
+++ b/tests/consensus/test_wire_bytes.py
@@ -8,85 +8,85 @@
 import pathlib
 import unittest
 
-from foxspread.consensus import messages
+from foxspread.consensus import wire
 from foxspread.consensus.messages import (
-    FORMAT,
-    Append,
-    Appended,
-    AskVote,
-    Entry,
+    AppendEntries,
+    AppendEntriesReply,
     Envelope,
-    HandOver,
-    Hello,
-    Install,
-    Installed,
-    Known,
+    HostMessage,
+    InstallSnapshot,
+    InstallSnapshotReply,
     Message,
-    Note,
-    Objection,
-    ReadAsk,
-    ReadIs,
-    Seat,
-    Snapshot,
-    Stamp,
-    Vote,
-    Welcome,
-    encoded,
+    ReadIndex,
+    ReadIndexReply,
+    RequestVote,
+    RequestVoteReply,
+    StorageCheck,
+    StorageCheckReply,
+    StorageRejected,
+    TimeoutNow,
 )
-from foxspread.consensus.versions import Put, State, Version
+from foxspread.consensus.records import LogEntry, MemberAddress, ObservedStorage, Snapshot, StorageIdentity
+from foxspread.consensus.wire import FORMAT, encode
+from foxspread.consensus.versions import PutVersion, Version, VersionHistory
 
 RECORDED = pathlib.Path(__file__).parents[1] / "data/wire/consensus-messages.json"
-STAMP = Stamp("0123456789abcdef", 3, "a1b2c3d4e5f6", 17, 42, 5)
-FIRST = {"c1": Seat("10.0.0.1:8601"), "c2": Seat("10.0.0.2:8601", False, 300)}
-KNOWN = {"c2": Known(Stamp("fedcba9876543210", 1, "00ff", 0, 70_000), 300), "c3": Known(STAMP, 0)}
+STAMP = StorageIdentity("0123456789abcdef", 3, "a1b2c3d4e5f6", 17, 42, 5)
+FIRST = {"c1": MemberAddress("10.0.0.1:8601"), "c2": MemberAddress("10.0.0.2:8601", False, 300)}
+KNOWN = {
+    "c2": ObservedStorage(StorageIdentity("fedcba9876543210", 1, "00ff", 0, 70_000), 300),
+    "c3": ObservedStorage(STAMP, 0),
+}
 VERSION = Version(7, "d" * 64, b"az = 'a'", 6, "r-7", "ada", "why", 1_700_000_000.25, 2)
 
 MESSAGES: dict[str, list[Message]] = {
     "RequestVote": [
-        AskVote(4, 128, 3),
-        AskVote(5, 0, 0, pre=True),
-        AskVote(70_000, 1 << 33, 69_999, False, True),
+        RequestVote(4, 128, 3),
+        RequestVote(5, 0, 0, pre_vote=True),
+        RequestVote(70_000, 1 << 33, 69_999, False, True),
     ],
-    "RequestVoteReply": [Vote(4, True), Vote(5, False, True)],
+    "RequestVoteReply": [RequestVoteReply(4, True), RequestVoteReply(5, False, True)],
     "AppendEntries": [
-        Append(4, 10, 3, [], 9, 77),
-        Append(4, 10, 3, [Entry(4), Entry(4, b"body"), Entry(4, members=FIRST)], 9, 77, 5, "01ab", KNOWN),
+        AppendEntries(4, 10, 3, [], 9, 77),
+        AppendEntries(
+            4, 10, 3, [LogEntry(4), LogEntry(4, b"body"), LogEntry(4, members=FIRST)], 9, 77, 5, "01ab", KNOWN
+        ),
     ],
-    "AppendEntriesReply": [Appended(4, True, 12, 77), Appended(4, False, 0, 1)],
+    "AppendEntriesReply": [AppendEntriesReply(4, True, 12, 77), AppendEntriesReply(4, False, 0, 1)],
     "InstallSnapshot": [
-        Install(4, 900, 3, FIRST, 300, 0, b"\0" * 40, False, 78),
-        Install(4, 900, 3, {}, 0, 24_576, b"end", True, 79, 300, "01ab"),
+        InstallSnapshot(4, 900, 3, FIRST, 300, 0, b"\0" * 40, False, 78),
+        InstallSnapshot(4, 900, 3, {}, 0, 24_576, b"end", True, 79, 300, "01ab"),
     ],
-    "InstallSnapshotReply": [Installed(4, 900, 24_576, 78), Installed(5, 0, 0, 0)],
-    "TimeoutNow": [HandOver(4), HandOver(1_000)],
-    "ReadIndex": [ReadAsk(4, "a1b2c3d4e5f6", 9), ReadAsk(1, "", -3)],
-    "ReadIndexReply": [ReadIs(4, "a1b2c3d4e5f6", 9, 300, True), ReadIs(4, "", -3, 0, False)],
-    "HostMessage": [Note(4, b"\x93\xa6report"), Note(0, b"")],
-    "StorageCheck": [Hello()],
-    "StorageCheckReply": [Welcome("a1b2c3d4e5f6"), Welcome("")],
+    "InstallSnapshotReply": [InstallSnapshotReply(4, 900, 24_576, 78), InstallSnapshotReply(5, 0, 0, 0)],
+    "TimeoutNow": [TimeoutNow(4), TimeoutNow(1_000)],
+    "ReadIndex": [ReadIndex(4, "a1b2c3d4e5f6", 9), ReadIndex(1, "", -3)],
+    "ReadIndexReply": [ReadIndexReply(4, "a1b2c3d4e5f6", 9, 300, True), ReadIndexReply(4, "", -3, 0, False)],
+    "HostMessage": [HostMessage(4, b"\x93\xa6report"), HostMessage(0, b"")],
+    "StorageCheck": [StorageCheck()],
+    "StorageCheckReply": [StorageCheckReply("a1b2c3d4e5f6"), StorageCheckReply("")],
     "StorageRejected": [
-        Objection("a1b2", "another disk: wiped, or copied", 300, -1),
-        Objection("", "", 0, 5),
+        StorageRejected("a1b2", "another disk: wiped, or copied", 300, -1),
+        StorageRejected("", "", 0, 5),
     ],
 }
 STORED: dict[str, list[object]] = {
-    "LogEntry": [Entry(4), Entry(4, b"body"), Entry(4, b"", FIRST)],
+    "LogEntry": [LogEntry(4), LogEntry(4, b"body"), LogEntry(4, b"", FIRST)],
     "Snapshot": [Snapshot(), Snapshot(900, 3, FIRST, 300, b"data")],
     "ObservedStorage": [{}, KNOWN],
-    "PutVersion": [Put("r-7", b"az = 'a'"), Put("r-8", b"", 7, "ada", "why", 1.5, 3)],
+    "PutVersion": [PutVersion("r-7", b"az = 'a'"), PutVersion("r-8", b"", 7, "ada", "why", 1.5, 3)],
     "Version": [VERSION],
-    "VersionHistory": [State(0, []), State(7, [VERSION])],
+    "VersionHistory": [VersionHistory(0, []), VersionHistory(7, [VERSION])],
 }
 
 
 def envelope_bytes(message: Message) -> bytes:
-    return encoded(Envelope("lab", FORMAT, "c1", "c2", STAMP, message))
+    return encode(Envelope("lab", FORMAT, "c1", "c2", STAMP, message))
 
 
 def spelled() -> dict[str, list[str]]:
     """Hexadecimal bytes by kind, in the order above; each message in an envelope of its own."""
     sent = {kind: [envelope_bytes(each).hex() for each in each_kind] for kind, each_kind in MESSAGES.items()}
-    return sent | {kind: [encoded(each).hex() for each in each_kind] for kind, each_kind in STORED.items()}
+    return sent | {kind: [encode(each).hex() for each in each_kind] for kind, each_kind in STORED.items()}
 
 
 class WireBytes(unittest.TestCase):
@@ -102,7 +102,7 @@
         for kind, sent in MESSAGES.items():
             for message, row in zip(sent, recorded[kind], strict=True):
                 with self.subTest(kind, message=message):
-                    self.assertEqual(messages.envelope(bytes.fromhex(row), "lab", "c2").message, message)
+                    self.assertEqual(wire.decode_for(bytes.fromhex(row), "lab", "c2").message, message)
 
 
 if __name__ == "__main__":  # records anew; only where the format's version rises with it
--- a/tests/duties/test_core.py
+++ b/tests/duties/test_core.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from foxspread.agreed.course import Course, Terms
-from foxspread.consensus.messages import encoded
+from foxspread.consensus.wire import encode
 from foxspread.duties.chief import DutyCourse, rank
 from foxspread.duties.guard import Guard
 from foxspread.duties.owner import Given, Owner
@@ -94,8 +94,8 @@
     def test_it_stands_in_the_coordinators_snapshot_and_an_older_one_is_read(self) -> None:
         old, it, again = Course(), DutyCourse(), DutyCourse()
         for each in (old, it):
-            each.apply(encoded(Terms(lease=2.0)))
-        it.apply(encoded(Take("d", "a/1", 1)))
+            each.apply(encode(Terms(lease=2.0)))
+        it.apply(encode(Take("d", "a/1", 1)))
         again.restore(it.saved())
         self.assertEqual((again.duties.duties, again.terms), (it.duties.duties, it.terms))
         again.restore(old.saved())
--- a/tests/lab/processes/test_mutants.py
+++ b/tests/lab/processes/test_mutants.py
@@ -1,7 +1,7 @@
 import unittest
 from dataclasses import replace
 
-from foxspread.consensus.core import Member
+from foxspread.consensus.raft import RaftNode
 from foxspread.lab.processes import explorer, mutants, virtual
 from foxspread.lab.processes.judge import RULES
 from foxspread.lab.processes.virtual import Plan, World
@@ -46,4 +46,4 @@
             for seed in range(2):
                 with self.subTest(name, seed=seed):
                     self.assertEqual(virtual.played(mutants.plan(mutant), seed).faults, [])
-        self.assertEqual(explorer.Explorer(explorer.CASES["two_votes"], Member).explore().fault, "")
+        self.assertEqual(explorer.Explorer(explorer.CASES["two_votes"], RaftNode).explore().fault, "")
