--- a/tests/consensus/make_stored_data.py
+++ b/tests/consensus/make_stored_data.py
@@ -1,6 +1,7 @@
 """Made tests/data/stored/coordinator and coordinator-expected.json, once, with the code of commit d26c70f.
 No test runs this: the data stays as that commit wrote it, whatever the code becomes. To see how it was made,
-run it in an export of d26c70f that this file, test_stored_data.py, tests/write_ahead_log.py and
+run it in an export of d26c70f that this file, test_stored_data.py (as of the commit that added it, with that
+code's names), tests/write_ahead_log.py and
 tests/stored_outcomes.py are copied into:
 
     PYTHONPATH=EXPORT python -m tests.consensus.make_stored_data FOLDER
--- a/tests/consensus/test_stored_data.py
+++ b/tests/consensus/test_stored_data.py
@@ -12,8 +12,9 @@
 
 import msgspec
 
-from foxspread.consensus.disk import Disk, DiskError
-from foxspread.consensus.messages import Saved
+from foxspread.consensus.errors import StorageError
+from foxspread.consensus.storage import Storage
+from foxspread.consensus.records import StoredState
 from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[1] / "data" / "stored"
@@ -31,28 +32,28 @@
 def read_coordinator(folder: pathlib.Path, fleet: str = FLEET, member: str = MEMBER) -> dict[str, Any] | str:
     """All that a coordinator finds in its folder, or why it refuses it. This and `as_json` are all here that
     names the code under test."""
-    disk = Disk(str(folder), fleet, member, "identity of a new disk")
+    disk = Storage(str(folder), fleet, member, "identity of a new disk")
     try:
         saved = disk.open()
-    except DiskError as error:
+    except StorageError as error:
         return str(error).replace(str(folder), FOLDER)
     disk.close()
     return as_json(saved)
 
 
-def as_json(saved: Saved) -> dict[str, Any]:
+def as_json(saved: StoredState) -> dict[str, Any]:
     """By names that stay, whatever the code calls them; records are told by position, bytes as base64."""
     return msgspec.to_builtins(
         {
-            "identity": saved.identity,
+            "identity": saved.disk_id,
             "starts": saved.generation,
-            "writes": saved.count,
+            "writes": saved.writes,
             "term": saved.term,
-            "vote": saved.vote,
-            "disks_known": saved.known,
-            "disks_retired": saved.retired,
-            "barred": saved.barred,
-            "seat": saved.seat,
+            "vote": saved.voted_for,
+            "disks_known": saved.observed_storage,
+            "disks_retired": saved.removed_disks,
+            "barred": saved.barred_reason,
+            "seat": saved.member_added_at,
             "snapshot": saved.snapshot,
             "log": saved.entries,
         }
