--- a/foxspread/agreed/course.py
+++ b/foxspread/agreed/course.py
@@ -9,7 +9,6 @@
 from foxspread.agreed.contents import content
 from foxspread.config import ConfigError
 from foxspread.consensus.records import Row
-from foxspread.consensus.wire import encode
 from foxspread.consensus.versions import (
     PutVersion,
     RequestIdReused,
@@ -19,6 +18,7 @@
     VersionStore,
     VersionWritten,
 )
+from foxspread.consensus.wire import encode
 
 HOLDERS_MOST = 10_000
 ALONES_MOST = 64  # alone parts that somebody may act on; a further version waits until one has run out
--- a/foxspread/consensus/messages.py
+++ b/foxspread/consensus/messages.py
@@ -160,9 +160,10 @@
     member_added_at: int
 
 
-Message = (
-    RequestVote
-    | RequestVoteReply
+# Messages whose `term` makes a receiver with an older term a follower ([R] 5.1). RequestVote is not one of
+# them: a voter first decides whether it considers the request at all.
+TermMessage = (
+    RequestVoteReply
     | AppendEntries
     | AppendEntriesReply
     | InstallSnapshot
@@ -171,11 +172,10 @@
     | ReadIndex
     | ReadIndexReply
     | HostMessage
-    | StorageCheck
-    | StorageCheckReply
-    | StorageRejected
 )
 
+Message = RequestVote | TermMessage | StorageCheck | StorageCheckReply | StorageRejected
+
 
 class Envelope(Row, frozen=True):
     """A message with all that is checked before it is read.
--- a/foxspread/consensus/process.py
+++ b/foxspread/consensus/process.py
@@ -67,12 +67,18 @@
     def _storage(self, disk_id: str) -> Storage:
         config = self.config
         storage = self.storage_type(config.folder, config.fleet, config.name, disk_id)
-        storage.on_durable = lambda number: self.loop.call_soon_threadsafe(
-            self._input, self.host.confirmed, number
-        )
-        storage.on_failure = lambda reason: self.loop.call_soon_threadsafe(self._disk_failed, reason)
+        storage.on_durable = self._on_durable
+        storage.on_failure = self._on_failure
         return storage
 
+    def _on_durable(self, number: int) -> None:
+        """Called in the disk's thread."""
+        self.loop.call_soon_threadsafe(self._input, self.host.confirmed, number)
+
+    def _on_failure(self, reason: str) -> None:
+        """Called in the disk's thread."""
+        self.loop.call_soon_threadsafe(self._disk_failed, reason)
+
     def _coordinator(self) -> Coordinator:
         """The coordinator on what the folder holds. Raises `StorageError`."""
         config = self.config
@@ -205,10 +211,10 @@
             number = http_api.version_number(path)
             return self._reply(await self._submit(self.host.get, number), with_content=True)
         if call == (b"POST", "/members"):
-            name, member_address = http_api.membership_request(message.body)
+            name, member_address = http_api.membership_request(bytes(message.body))
             return self._reply(await self._submit(self.host.change_membership, name, member_address))
         if call == (b"POST", "/hand-over"):
-            target = http_api.transfer_request(message.body)
+            target = http_api.transfer_request(bytes(message.body))
             return self._reply(await self._submit(self.host.transfer_leadership, target))
         return http_api.rejected_reply(404, f"no such call: {message.method.decode('latin-1')} {path[:60]}")
 
@@ -225,7 +231,7 @@
             self.host.cancel(token)
 
     async def _put(self, message: http.Message) -> HttpReply:
-        put, keys = http_api.put_request(message.body)
+        put, keys = http_api.put_request(bytes(message.body))
         self.check_content(put.content)
         self.check_against_latest(put.content, keys)
         return self._reply(await self._submit(self.host.put, put))
--- a/foxspread/consensus/raft/node.py
+++ b/foxspread/consensus/raft/node.py
@@ -13,7 +13,6 @@
     Envelope,
     HostMessage,
     InstallSnapshot,
-    Message,
     ReadIndex,
     ReadIndexReply,
     RequestVote,
@@ -21,6 +20,7 @@
     StorageCheck,
     StorageCheckReply,
     StorageRejected,
+    TermMessage,
     TimeoutNow,
 )
 from foxspread.consensus.raft.election import Election
@@ -126,13 +126,13 @@
             self._observe_term(message)
             self._handle(sender, message, envelope.storage.disk_id)
 
-    def _observe_term(self, message: Message) -> None:
+    def _observe_term(self, message: TermMessage) -> None:
         """[R] 5.1: a later term makes any node a follower. A granted pre-vote's term has not begun."""
         granted_pre_vote = isinstance(message, RequestVoteReply) and message.pre_vote and message.vote_granted
         if message.term > self.current_term and not granted_pre_vote:
             self._become_follower(message.term)
 
-    def _handle(self, sender: str, message: Message, disk_id: str) -> None:
+    def _handle(self, sender: str, message: TermMessage, disk_id: str) -> None:
         if isinstance(message, RequestVoteReply):
             self._handle_vote_reply(sender, message)
         elif isinstance(message, AppendEntries):
--- a/foxspread/consensus/raft/state.py
+++ b/foxspread/consensus/raft/state.py
@@ -101,7 +101,7 @@
 class AppliedEntry(NamedTuple):
     """A committed entry, for the state machine."""
 
-    index: int
+    log_index: int
     entry: LogEntry
 
 
--- a/foxspread/consensus/storage.py
+++ b/foxspread/consensus/storage.py
@@ -14,6 +14,7 @@
 import threading
 import time
 from collections.abc import Callable
+from typing import TypeVar
 
 import msgspec
 
@@ -28,6 +29,8 @@
 )
 from foxspread.consensus.wire import FORMAT, encode
 
+T = TypeVar("T")
+
 FILE = "coordinator.sqlite"
 MAX_WRITES_PER_COMMIT = 256  # bounds the time until the first of them is confirmed
 CLOSE_TIMEOUT_S = 5.0  # for the last commit at the end of the process
@@ -60,7 +63,7 @@
         self.folder, self.fleet, self.member, self.disk_id = pathlib.Path(folder), fleet, member, disk_id
         self.on_durable: Callable[[int], None] = lambda number: None
         self.on_failure: Callable[[str], None] = lambda reason: None
-        self.database: sqlite3.Connection | None = None
+        self._connection: sqlite3.Connection | None = None
         self.writes: queue.SimpleQueue[StorageWrite | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self.commits, self.records = 0, 0
@@ -93,8 +96,15 @@
         self.thread.start()
         return stored
 
+    @property
+    def database(self) -> sqlite3.Connection:
+        """The connection, once the folder is open."""
+        if self._connection is None:
+            raise StorageError(f"{self.folder} is not open")
+        return self._connection
+
     def _connect(self) -> None:
-        self.database = sqlite3.connect(
+        self._connection = sqlite3.connect(
             self.folder / FILE, timeout=0.0, isolation_level=None, check_same_thread=False
         )
         self.database.execute("PRAGMA locking_mode=EXCLUSIVE")  # two processes on one folder would both vote
@@ -134,8 +144,8 @@
 
     def _release(self) -> None:
         """Rolls back what was begun: the folder is as it was, and free for another process."""
-        if self.database is not None:
-            self.database.close()
+        if self._connection is not None:
+            self._connection.close()
 
     def _sync_folder(self) -> None:
         """Makes the names of new files durable; SQLite syncs their content only."""
@@ -150,7 +160,7 @@
             "REPLACE INTO state VALUES (?, ?)", [(key, encode(value)) for key, value in values.items()]
         )
 
-    def _get(self, key: str, kind: type) -> object:
+    def _get(self, key: str, kind: type[T]) -> T:
         row = self.database.execute("SELECT value FROM state WHERE key = ?", (key,)).fetchone()
         if row is None:
             raise StorageCorruptedError(f"{self.folder}: {key} is missing")
--- a/foxspread/lab/processes/explorer.py
+++ b/foxspread/lab/processes/explorer.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
+from foxspread.consensus.messages import Envelope, Message, RequestVoteReply, TimeoutNow
 from foxspread.consensus.raft import RaftNode, RaftSettings, Ready, Role
 from foxspread.consensus.raft.log import RaftLog
-from foxspread.consensus.messages import Envelope, Message, RequestVoteReply, TimeoutNow
 from foxspread.consensus.records import LogEntry, MemberAddress, StorageIdentity, StoredState
 from foxspread.consensus.wire import FORMAT, encode
 
--- a/foxspread/lab/processes/judge.py
+++ b/foxspread/lab/processes/judge.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.consensus.raft import RaftSettings, Role
 from foxspread.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -14,6 +13,7 @@
     RequestVote,
     RequestVoteReply,
 )
+from foxspread.consensus.raft import RaftSettings, Role
 from foxspread.consensus.records import LogEntry
 from foxspread.consensus.versions import PutVersion, RequestIdReused, Version, VersionConflict, VersionWritten
 from foxspread.lab.processes import linear
--- a/foxspread/lab/processes/mutants.py
+++ b/foxspread/lab/processes/mutants.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from foxspread.consensus.raft import RaftNode
 from foxspread.consensus.messages import AppendEntries, InstallSnapshot, Message, RequestVote
+from foxspread.consensus.raft import RaftNode
 from foxspread.consensus.records import Snapshot, StorageIdentity, StorageWrite
 from foxspread.consensus.versions import (
     PutVersion,
--- a/foxspread/lab/processes/virtual.py
+++ b/foxspread/lab/processes/virtual.py
@@ -16,8 +16,8 @@
 
 from foxspread.consensus.coordinator import Answer, Coordinator, Outputs, Status
 from foxspread.consensus.errors import InvariantViolation
-from foxspread.consensus.raft import RaftNode, RaftSettings, Role
 from foxspread.consensus.messages import Envelope
+from foxspread.consensus.raft import RaftNode, RaftSettings, Role
 from foxspread.consensus.records import MemberAddress, Members, Snapshot, StorageWrite, StoredState
 from foxspread.consensus.versions import (
     PutVersion,
@@ -27,9 +27,9 @@
     VersionWritten,
     digest,
 )
-from foxspread.lab.world.clock import Clock
 from foxspread.lab.processes.judge import Judge
 from foxspread.lab.processes.linear import NEVER, Op
+from foxspread.lab.world.clock import Clock
 
 # What may befall, by name. `lossy` ones take from a disk what it had promised: they come alone, for with
 # another member away as well they are more than the fleet can bear (docs/design/consensus.md).
--- /dev/null
+++ b/tests/consensus/raft/nodes.py
@@ -0,0 +1,105 @@
+"""Raft nodes driven by hand: messages go where the test sends them, writes are durable when it says."""
+
+from foxspread.consensus.messages import (
+    AppendEntries,
+    Envelope,
+    Message,
+    RequestVoteReply,
+    StorageCheckReply,
+)
+from foxspread.consensus.raft import RaftNode, RaftSettings, Ready, Role
+from foxspread.consensus.records import LogEntry, MemberAddress, Members, StorageIdentity, StoredState
+from foxspread.consensus.wire import FORMAT
+
+FLEET = "lab"
+START_S = 0.0
+ELECTION_S = 10.0  # long after the election timeout of any node
+
+
+def members(*names: str) -> Members:
+    """Voters with these names."""
+    return {name: MemberAddress(f"{name}:1") for name in names}
+
+
+def identity(name: str, incarnation: str = "run", writes: int = 0) -> StorageIdentity:
+    """The disk of a founding member."""
+    return StorageIdentity(f"disk-of-{name}", 1, incarnation, 0, writes, 0)
+
+
+def receive(
+    node: RaftNode,
+    sender: str,
+    message: Message,
+    now: float = START_S,
+    storage: StorageIdentity | None = None,
+) -> None:
+    """Delivers a message, from the disk of a founding member if no other one is given."""
+    storage = storage or identity(sender)
+    node.receive(now, Envelope(FLEET, FORMAT, sender, node.node_id, storage, message))
+
+
+def make_durable(node: RaftNode) -> Ready:
+    """Takes what is to be done, confirms all writes, and returns it with what that released."""
+    total = Ready()
+    while ready := node.take():
+        total.messages += ready.messages
+        total.writes += ready.writes
+        total.entries += ready.entries
+        total.reads += ready.reads
+        total.host_messages += ready.host_messages
+        if ready.writes:
+            node.confirmed(node.now, ready.writes[-1].number)
+    return total
+
+
+def sent(ready: Ready, kind: type) -> list[Message]:
+    """The messages of one kind, in their order."""
+    return [envelope.message for envelope in ready.messages if isinstance(envelope.message, kind)]
+
+
+def starting_node(node_id: str = "c1", names: tuple[str, ...] = ("c1", "c2", "c3")) -> RaftNode:
+    """A node that has asked its peers about its disk, and heard nothing yet."""
+    stored = StoredState(f"disk-of-{node_id}", 1)
+    return RaftNode(START_S, node_id, FLEET, stored, members(*names), RaftSettings(), lambda: 0.5)
+
+
+def follower(node_id: str = "c1", names: tuple[str, ...] = ("c1", "c2", "c3")) -> RaftNode:
+    """A node in term 0 whose disk a peer has confirmed."""
+    node = starting_node(node_id, names)
+    make_durable(node)
+    for peer in names:
+        if peer != node_id:
+            receive(node, peer, StorageCheckReply(node.incarnation))
+    assert node.role is Role.FOLLOWER
+    return node
+
+
+def pre_candidate() -> RaftNode:
+    """c1, which has asked whether it would win an election."""
+    node = follower()
+    node.tick(ELECTION_S)
+    return node
+
+
+def candidate() -> RaftNode:
+    """c1, which has asked for votes in term 1; its own vote is not durable yet."""
+    node = pre_candidate()
+    receive(node, "c2", RequestVoteReply(1, True, pre_vote=True), ELECTION_S)
+    return node
+
+
+def leader() -> RaftNode:
+    """c1, which leads term 1 by the vote of c2; its first entry is durable on its own disk only."""
+    node = candidate()
+    receive(node, "c2", RequestVoteReply(1, True), ELECTION_S)
+    make_durable(node)
+    assert node.role is Role.LEADER
+    return node
+
+
+def follower_of_c2(entries: list[LogEntry], term: int = 1) -> RaftNode:
+    """c1, which has entries of the leader c2, none of them committed."""
+    node = follower()
+    receive(node, "c2", AppendEntries(term, 0, 0, entries, 0, 1))
+    make_durable(node)
+    return node
--- /dev/null
+++ b/tests/consensus/test_coordinator.py
@@ -0,0 +1,91 @@
+import unittest
+
+from foxspread.consensus.coordinator import MAX_PENDING_CALLS, Answer, Coordinator, Status
+from foxspread.consensus.raft import RaftSettings, Role
+from foxspread.consensus.records import MemberAddress, StoredState
+from foxspread.consensus.versions import PutVersion
+
+MAX_UNCOMMITTED = RaftSettings().max_uncommitted_entries
+
+
+def single_leader() -> Coordinator:
+    """The coordinator of a cluster of one, which leads."""
+    host = Coordinator(
+        0.0, "c1", "lab", StoredState("i", 1), {"c1": MemberAddress("a:1")}, RaftSettings(), lambda: 0.5
+    )
+    make_durable(host, 0.0)
+    host.tick(1.0)
+    make_durable(host, 1.0)
+    assert host.raft.role is Role.LEADER
+    return host
+
+
+def make_durable(host: Coordinator, now: float) -> list[Answer]:
+    """Confirms all writes, and returns the answers."""
+    answers = []
+    while True:
+        outputs = host.take(now)
+        answers += outputs.answers
+        if not outputs.writes:
+            return answers
+        host.confirmed(now, outputs.writes[-1].number)
+
+
+class Bounds(unittest.TestCase):
+    def test_writes_beyond_the_uncommitted_bound_are_rejected_at_once(self) -> None:
+        host = single_leader()
+        for token in range(600):
+            host.put(2.0, token, PutVersion(f"r{token}", b"x"))
+        answers = host.take(2.0).answers
+        self.assertEqual({answer.status for answer in answers}, {Status.REJECTED})
+        self.assertEqual((MAX_UNCOMMITTED, len(answers)), (512, 600 - 512))
+        self.assertEqual(answers[0].value, "512 entries wait already")
+
+    def test_calls_beyond_the_pending_bound_are_rejected_at_once(self) -> None:
+        host = single_leader()
+        for token in range(MAX_UNCOMMITTED):
+            host.put(2.0, token, PutVersion(f"r{token}", b"x"))
+        for token in range(1000, 1000 + MAX_PENDING_CALLS):
+            host.get(2.0, token)
+        values = {answer.value for answer in host.take(2.0).answers}
+        self.assertIn(f"{MAX_PENDING_CALLS} calls wait already", values)
+
+    def test_a_write_without_a_majority_is_answered_as_unknown_at_its_time_out(self) -> None:
+        host = single_leader()
+        host.put(2.0, 1, PutVersion("r", b"x"))
+        host.take(2.0)  # and its disk never confirms
+        host.tick(3.9)
+        self.assertEqual(host.take(3.9).answers, [])
+        host.tick(4.0)
+        answers = host.take(4.0).answers
+        self.assertEqual([(each.token, each.status) for each in answers], [(1, Status.UNKNOWN)])
+
+
+class Snapshots(unittest.TestCase):
+    def test_a_fresh_member_gets_ten_thousand_versions_of_a_compacted_log(self) -> None:
+        host = single_leader()
+        host.min_compaction_bytes = 200_000
+        for token in range(10_000):
+            host.put(2.0, token, PutVersion(f"r{token}", b"content %d" % token))
+            make_durable(host, 2.0)
+        self.assertEqual(host.versions.latest, 10_000)
+        self.assertLess(len(host.raft.log.entries), 10_000)
+        fresh = Coordinator(2.0, "c2", "lab", StoredState("j", 1), {}, RaftSettings(), lambda: 0.5)
+        host.change_membership(2.0, 20_000, "c2", "a:2")
+        for step in range(400):
+            now = 2.0 + step / 10
+            self.exchange(host, fresh, now)
+            self.exchange(fresh, host, now)
+        self.assertEqual(fresh.versions.by_number, host.versions.by_number)
+        self.assertEqual(host.raft.members["c2"].voter, True)
+
+    def exchange(self, one: Coordinator, other: Coordinator, now: float) -> None:
+        """A tick of one, and all that it leads to."""
+        one.tick(now)
+        outputs = one.take(now)
+        while outputs.writes or outputs.messages:
+            if outputs.writes:
+                one.confirmed(now, outputs.writes[-1].number)
+            for envelope in outputs.messages:
+                other.receive(now, envelope)
+            outputs = one.take(now)
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -1,5 +1,4 @@
-"""Hard cases with real coordinators on loopback, relays between them. Each test has folders and ports of its
-own."""
+"""Faults of real coordinators on loopback, with relays between them, and folders and ports of each test."""
 
 import asyncio
 import functools
@@ -29,9 +28,9 @@
         async def main() -> None:
             play = Play(SCENARIO, 1)
             async with play.fleet:
-                await well(play)
+                await wait_until_converged(play)
                 await test(self, play)
-                await well(play)
+                await wait_until_converged(play)
                 await play.ended()
             self.assertEqual(play.judge.faults, [])
 
@@ -40,23 +39,23 @@
     return run
 
 
-async def until(ask: Callable[[], Awaitable[Any]], within: float = 15.0) -> Any:
+async def wait_for(condition: Callable[[], Awaitable[Any]], within: float = 15.0) -> Any:
     end = time.monotonic() + within
-    while not (found := await ask()):
+    while not (found := await condition()):
         if time.monotonic() > end:
             raise AssertionError("not in time")
         await asyncio.sleep(0.02)
     return found
 
 
-async def well(play: Play) -> None:
+async def wait_until_converged(play: Play) -> None:
     async def agree() -> bool:
         rows = list((await play.statuses()).values())
         return len({(row.get("leader"), row.get("applied")) for row in rows}) == 1 and bool(
             rows[0].get("leader")
         )
 
-    await until(agree)
+    await wait_for(agree)
 
 
 async def put(child: Child, request: str, within: float = 3.0, if_version: int = -1) -> dict[str, Any]:
@@ -76,13 +75,13 @@
     return (await call(child.fleet.writers[child.name].address, "GET", "/rules", within=3.0)).value
 
 
-class HardCases(unittest.TestCase):
-    async def sides(self, play: Play) -> tuple[Child, list[Child]]:
+class ProcessFaults(unittest.TestCase):
+    async def leader_and_followers(self, play: Play) -> tuple[Child, list[Child]]:
         """The leader, and the others."""
-        name = await until(play.leader)
+        name = await wait_for(play.leader)
         return play.fleet.children[name], [each for each in play.fleet.children.values() if each.name != name]
 
-    async def done(self, children: list[Child], request: str) -> dict[str, Any]:
+    async def put_at_any(self, children: list[Child], request: str) -> dict[str, Any]:
         """A put at any of them, whoever leads."""
 
         async def some() -> dict[str, Any] | None:
@@ -91,14 +90,14 @@
                 if value.get("status") == "done":
                     return value["version"]
 
-        return await until(some)
+        return await wait_for(some)
 
     @with_fleet
-    async def test_a_leader_that_was_stopped_wakes_to_a_read_and_a_write(self, play: Play) -> None:
-        leader, rest = await self.sides(play)
+    async def test_a_resumed_leader_gives_no_stale_read_and_no_lost_write(self, play: Play) -> None:
+        leader, followers = await self.leader_and_followers(play)
         await put(leader, "first")
         leader.stop()
-        second = await self.done(rest, "second")
+        second = await self.put_at_any(followers, "second")
         asked = asyncio.gather(
             get(leader), put(leader, "third")
         )  # they wait in its socket while it stands still
@@ -109,18 +108,18 @@
             self.assertGreaterEqual(read["version"]["number"], second["number"])
         if wrote["status"] == "done":
             self.assertGreater(wrote["version"]["number"], second["number"])
-        self.assertEqual((await self.done(rest, "third"))["number"], second["number"] + 1)
+        self.assertEqual((await self.put_at_any(followers, "third"))["number"], second["number"] + 1)
 
     @with_fleet
-    async def test_the_same_number_on_both_sides_of_a_cut(self, play: Play) -> None:
-        leader, rest = await self.sides(play)
+    async def test_one_side_of_a_partition_writes_a_version(self, play: Play) -> None:
+        leader, followers = await self.leader_and_followers(play)
         self.assertEqual((await put(leader, "first"))["version"]["number"], 1)
         for relay in [*play.fleet.to(leader.name), *leader.reach.values()]:
             if relay is not play.fleet.writers[leader.name]:
                 relay.begin("silent")
         begun = time.monotonic()
         left = asyncio.ensure_future(put(leader, "left", 6.0, if_version=1))
-        right = await self.done(rest, "right")
+        right = await self.put_at_any(followers, "right")
         answer = await left
         self.assertLess(time.monotonic() - begun, 4.0)
         self.assertIn(answer["status"], ("unknown", "elsewhere"))
@@ -128,67 +127,67 @@
         for relay in [*play.fleet.to(leader.name), *leader.reach.values()]:
             if relay is not play.fleet.writers[leader.name]:
                 relay.end("silent")
-        await well(play)
-        found = await put((await self.sides(play))[0], "left", if_version=1)
+        await wait_until_converged(play)
+        found = await put((await self.leader_and_followers(play))[0], "left", if_version=1)
         self.assertEqual((found["status"], found["latest"]["request"]), ("conflict", "right"))
 
     @with_fleet
-    async def test_a_writer_that_loses_its_answer_asks_another(self, play: Play) -> None:
-        leader, rest = await self.sides(play)
+    async def test_a_retry_after_a_lost_reply_writes_one_version(self, play: Play) -> None:
+        leader, followers = await self.leader_and_followers(play)
         play.fleet.writers[leader.name].begin("silent_in")
         self.assertEqual(await put(leader, "once", 0.5), {})
         await leader.end()
-        self.assertEqual((await self.done(rest, "once"))["number"], 1)
-        self.assertEqual((await self.done(rest, "twice"))["number"], 2)
+        self.assertEqual((await self.put_at_any(followers, "once"))["number"], 1)
+        self.assertEqual((await self.put_at_any(followers, "twice"))["number"], 2)
         play.fleet.writers[leader.name].end("silent_in")
         await leader.start()
 
     @with_fleet
-    async def test_one_that_is_not_heard_makes_no_terms_climb(self, play: Play) -> None:
-        leader, rest = await self.sides(play)
+    async def test_a_partitioned_follower_raises_no_terms(self, play: Play) -> None:
+        leader, followers = await self.leader_and_followers(play)
         terms = {row["term"] for row in (await play.statuses()).values()}
-        for relay in rest[0].reach.values():
+        for relay in followers[0].reach.values():
             relay.begin("silent_out")
         for at in range(12):  # a second and more: three election times
             await asyncio.sleep(0.1)
-            await self.done([leader, rest[1]], f"r{at}")
-        for relay in rest[0].reach.values():
+            await self.put_at_any([leader, followers[1]], f"r{at}")
+        for relay in followers[0].reach.values():
             relay.end("silent_out")
-        await well(play)
+        await wait_until_converged(play)
         self.assertEqual({row["term"] for row in (await play.statuses()).values()}, terms)
 
     @with_fleet
-    async def test_a_wiped_member_is_found_and_comes_back_when_added_anew(self, play: Play) -> None:
-        leader, rest = await self.sides(play)
+    async def test_a_wiped_member_votes_again_once_it_is_added_again(self, play: Play) -> None:
+        leader, followers = await self.leader_and_followers(play)
         await put(leader, "first")
-        await play.lose("wipe", rest[0].name)
-        await self.done([leader, *rest], "second")
-        await until(functools.partial(self.votes, play, rest[0].name))
+        await play.lose("wipe", followers[0].name)
+        await self.put_at_any([leader, *followers], "second")
+        await wait_for(functools.partial(self.votes, play, followers[0].name))
 
     async def votes(self, play: Play, name: str) -> bool:
         rows = (await play.statuses()).values()
         return all(row.get("members", {}).get(name, {}).get("votes") for row in rows)
 
     @with_fleet
-    async def test_a_full_disk_and_a_failing_one_are_told_and_mended(self, play: Play) -> None:
+    async def test_a_failed_disk_bars_a_member_until_its_restart(self, play: Play) -> None:
         for fault, text in (("disk_full", "disk fails"), ("fsync_fails", "input/output error")):
-            leader, rest = await self.sides(play)
+            leader, followers = await self.leader_and_followers(play)
             getattr(leader, fault)(True)
-            await self.done([leader, *rest], fault)
-            status = (await until(functools.partial(self.barred, play, leader.name)))["why"]
+            await self.put_at_any([leader, *followers], fault)
+            status = (await wait_for(functools.partial(self.barred, play, leader.name)))["why"]
             self.assertIn(text, status)
             getattr(leader, fault)(False)
             await leader.end(signal.SIGTERM)
             await leader.start()
-            await well(play)
+            await wait_until_converged(play)
 
     async def barred(self, play: Play, name: str) -> dict[str, Any] | None:
         row = (await play.statuses())[name]
         return row if row.get("role") == "barred" else None
 
     @with_fleet
-    async def test_strangers_and_garbage_are_refused_and_counted(self, play: Play) -> None:
-        leader, rest = await self.sides(play)
+    async def test_foreign_and_malformed_requests_are_refused_and_counted(self, play: Play) -> None:
+        leader, followers = await self.leader_and_followers(play)
         stamp = StorageIdentity("x", 1, "y", 0, 0)
         for body, text in (
             (encode(Envelope("other", FORMAT, "c2", leader.name, stamp, StorageCheck())), b"fleet 'other'"),
@@ -225,11 +224,11 @@
             self.assertEqual((value["status"], text in value["why"]), ("refused", True), value)
         refused = (await play.statuses())[leader.name]["refused"]
         self.assertEqual(sum(refused.values()), 3)
-        await self.done([leader, *rest], "goes-on")
+        await self.put_at_any([leader, *followers], "goes-on")
 
     @with_fleet
-    async def test_one_folder_has_one_process(self, play: Play) -> None:
-        leader, _ = await self.sides(play)
+    async def test_a_folder_in_use_is_refused(self, play: Play) -> None:
+        leader, _ = await self.leader_and_followers(play)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -244,8 +243,8 @@
         self.assertIn(b"another process uses it", text)
 
 
-class Mixed(unittest.TestCase):
-    def test_drawn_faults_and_a_mutant(self) -> None:
+class DrawnFaults(unittest.TestCase):
+    def test_drawn_faults_break_no_rule_and_a_mutant_is_caught(self) -> None:
         drawn = Drawn(
             ["silent", "reset", "half_open", "repeat", "held", "stall", "kill", "fsync_fails"],
             every=0.8,
--- a/tests/consensus/test_hard_cases.py
+++ b/tests/consensus/test_simulated_faults.py
@@ -1,4 +1,4 @@
-"""Hard cases of agreement by name, each a script that is played in virtual time and judged by all rules."""
+"""Faults of coordinators by name, each a script that is simulated in virtual time and judged by all rules."""
 
 import unittest
 from dataclasses import replace
@@ -47,8 +47,8 @@
 }
 
 
-class HardCases(unittest.TestCase):
-    def test_scripts(self) -> None:
+class SimulatedFaults(unittest.TestCase):
+    def test_no_scripted_fault_breaks_a_rule(self) -> None:
         for name, (plan, script) in SCRIPTS.items():
             for seed in range(3):
                 with self.subTest(name, seed=seed):
@@ -56,7 +56,7 @@
                     self.assertEqual(judge.faults, [])
                     self.assertGreater(len(judge.done), 5)
 
-    def test_one_that_is_not_heard_makes_no_terms_climb(self) -> None:
+    def test_a_partitioned_follower_raises_no_terms(self) -> None:
         for kind in ("silent_out", "silent_in", "silent"):
             with self.subTest(kind):
                 world = World(PLAN, 1)
@@ -68,15 +68,15 @@
                 judge = world.follow([(2.0, kind, 4.5, "follower")])
                 self.assertEqual((judge.faults, terms[1] - terms[0]), ([], 0))
 
-    def test_one_that_is_added_while_nobody_writes_catches_up_and_votes(self) -> None:
+    def test_a_member_added_while_nobody_writes_becomes_a_voter(self) -> None:
         world = World(replace(PLAN, writers=0), 4)
         world.follow([(2.0, "replace", 0.0, "c2")])
-        seats = {node.host.raft.members["c2"] for node in world.nodes.values()}
-        self.assertEqual([(seat.voter, seat.added_at > 0) for seat in seats], [(True, True)])
+        members = {node.host.raft.members["c2"] for node in world.nodes.values()}
+        self.assertEqual([(member.voter, member.added_at > 0) for member in members], [(True, True)])
 
-    def test_one_that_was_removed_asks_for_votes_in_vain(self) -> None:
+    def test_a_removed_member_raises_no_terms_and_is_barred(self) -> None:
         world = World(PLAN, 2)
-        gone = world.nodes["c3"]
+        removed = world.nodes["c3"]
 
         def remove() -> None:
             for node in world.nodes.values():
@@ -88,10 +88,10 @@
         judge = world.follow([])
         terms = {node.host.raft.current_term for node in world.nodes.values()}
         self.assertEqual([fault.rule for fault in judge.faults], [])
-        self.assertEqual((len(terms), gone.host.raft.role), (1, Role.BARRED))
-        self.assertIn("was removed", gone.host.raft.barred_reason)
+        self.assertEqual((len(terms), removed.host.raft.role), (1, Role.BARRED))
+        self.assertIn("was removed", removed.host.raft.barred_reason)
 
-    def test_a_wiped_member_does_not_vote_and_says_why(self) -> None:
+    def test_a_member_whose_disk_lost_writes_is_barred_and_says_why(self) -> None:
         for at, kind, text in (
             (3.9, "wipe", "another disk"),
             (4.35, "put_back", "an earlier state of the disk"),
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""What a folder must bear: cut at any write, held by another process, of another member, damaged, full."""
+"""A coordinator's folder: cut off at any write, in use by another process, of another member, or damaged."""
 
 import pathlib
 import shutil
@@ -7,8 +7,7 @@
 import threading
 import unittest
 
-from foxspread.consensus.errors import StorageError
-from foxspread.consensus.storage import FILE, Storage
+from foxspread.consensus.errors import StorageCorruptedError, StorageError
 from foxspread.consensus.records import (
     LogEntry,
     MemberAddress,
@@ -18,6 +17,7 @@
     StorageWrite,
     StoredState,
 )
+from foxspread.consensus.storage import FILE, Storage
 
 KNOWN = {"c2": ObservedStorage(StorageIdentity("i2", 1, "r", 0, 5), 0)}
 WRITES = [
@@ -46,50 +46,50 @@
         self.folder = tempfile.mkdtemp()
         self.addCleanup(shutil.rmtree, self.folder, ignore_errors=True)
 
-    def disk(self, fleet: str = "lab", member: str = "c1") -> Storage:
+    def storage(self, fleet: str = "lab", member: str = "c1") -> Storage:
         return Storage(self.folder, fleet, member, "identity")
 
-    def put(self, disk: Storage, writes: list[StorageWrite]) -> list[object]:
-        """What the disk says, once all are done or one has failed."""
-        told, over = [], threading.Event()
+    def put(self, storage: Storage, writes: list[StorageWrite]) -> list[object]:
+        """What the storage says, once all are done or one has failed."""
+        reported, over = [], threading.Event()
 
         def done(number: int) -> None:
-            told.append(number)
+            reported.append(number)
             if number == writes[-1].number:
                 over.set()
 
         def failed(why: str) -> None:
-            told.append(why)
+            reported.append(why)
             over.set()
 
-        disk.on_durable, disk.on_failure = done, failed
+        storage.on_durable, storage.on_failure = done, failed
         for write in writes:
-            disk.write(write)
+            storage.write(write)
         if writes:
             self.assertTrue(over.wait(10))
-        return told
+        return reported
 
-    def test_it_is_after_each_record_what_the_lab_s_disk_is(self) -> None:
+    def test_each_write_changes_the_folder_as_it_changes_the_state_in_memory(self) -> None:
         for count in range(len(WRITES) + 1):
             with self.subTest(count):
                 shutil.rmtree(self.folder)
                 wanted = StoredState("identity", 2)
                 for write in WRITES[:count]:
                     wanted.apply(write)
-                disk = self.disk()
-                self.assertEqual(disk.open(), StoredState("identity", 1))
-                told = self.put(disk, WRITES[:count])
-                self.assertEqual(told[-1:], [WRITES[count - 1].number] if count else [])
-                disk.close()
-                again = self.disk()
+                storage = self.storage()
+                self.assertEqual(storage.open(), StoredState("identity", 1))
+                reported = self.put(storage, WRITES[:count])
+                self.assertEqual(reported[-1:], [WRITES[count - 1].number] if count else [])
+                storage.close()
+                again = self.storage()
                 self.assertEqual(again.open(), wanted)
                 again.close()
 
-    def test_what_is_not_confirmed_may_be_missing_and_nothing_else(self) -> None:
+    def test_a_copy_at_any_moment_holds_all_confirmed_writes(self) -> None:
         """The files as they are at each moment, taken away while it writes: a prefix is there, never a
         hole."""
-        disk, kept = self.disk(), []
-        disk.open()
+        storage, kept = self.storage(), []
+        storage.open()
         done: list[int] = []
         over = threading.Event()
 
@@ -99,11 +99,11 @@
             if number == 8:
                 over.set()
 
-        disk.on_durable = note
+        storage.on_durable = note
         for write in WRITES:
-            disk.write(write)
+            storage.write(write)
         self.assertTrue(over.wait(10))
-        disk.close()
+        storage.close()
         for number, folder in kept:
             wanted = StoredState("identity", 2)
             for write in WRITES[:number]:
@@ -113,59 +113,59 @@
             copy.close()
             shutil.rmtree(pathlib.Path(folder).parent)
 
-    def test_refused_by_name_and_left_as_it_was(self) -> None:
-        disk = self.disk()
-        disk.open()
+    def test_a_folder_that_cannot_be_used_is_refused_by_name_and_left_as_it_is(self) -> None:
+        storage = self.storage()
+        storage.open()
         with self.assertRaisesRegex(StorageError, "another process uses it"):
-            self.disk().open()
-        self.put(disk, WRITES[:3])
-        disk.close()
+            self.storage().open()
+        self.put(storage, WRITES[:3])
+        storage.close()
         with self.assertRaisesRegex(StorageError, "its member is 'c1', not 'c2'"):
-            self.disk(member="c2").open()
+            self.storage(member="c2").open()
         with self.assertRaisesRegex(StorageError, "its fleet is 'lab', not 'other'"):
-            self.disk("other").open()
+            self.storage("other").open()
         file = pathlib.Path(self.folder, FILE)
-        for statement, text in (
-            ("DELETE FROM log WHERE place = 2", "its log has a hole"),
-            ("UPDATE state SET value = x'02' WHERE key = 'format'", "its format is 2, not 1"),
-            ("DELETE FROM state WHERE key = 'term'", "term is missing"),
+        for statement, error, text in (
+            ("DELETE FROM log WHERE place = 2", StorageCorruptedError, "its log has a hole"),
+            ("UPDATE state SET value = x'02' WHERE key = 'format'", StorageError, "its format is 2, not 1"),
+            ("DELETE FROM state WHERE key = 'term'", StorageCorruptedError, "term is missing"),
         ):
             with self.subTest(text):
                 sound = file.read_bytes()
                 with sqlite3.connect(file) as database:
                     database.execute(statement)
                 database.close()
-                with self.assertRaisesRegex(StorageError, text):
-                    self.disk().open()
+                with self.assertRaisesRegex(error, text):
+                    self.storage().open()
                 for each in pathlib.Path(self.folder).iterdir():
                     each.unlink()
                 file.write_bytes(sound)
         file.write_bytes(b"not a database" * 100)
-        with self.assertRaisesRegex(StorageError, "not a database"):
-            self.disk().open()
+        with self.assertRaisesRegex(StorageCorruptedError, "not a database"):
+            self.storage().open()
         self.assertEqual(file.read_bytes()[:14], b"not a database")
         with self.assertRaises(StorageError):
             Storage("/proc/nowhere", "lab", "c1", "x").open()
 
-    def test_a_write_that_failed_is_final(self) -> None:
-        disk = self.disk()
-        disk.open()
-        self.put(disk, WRITES[:2])
+    def test_no_write_follows_a_failed_one(self) -> None:
+        storage = self.storage()
+        storage.open()
+        self.put(storage, WRITES[:2])
 
         def fail() -> None:
             raise sqlite3.OperationalError("disk I/O error")
 
-        disk.sync = fail
-        self.assertEqual(self.put(disk, WRITES[2:3]), ["disk I/O error"])
-        del disk.sync
-        disk.on_durable = lambda number: self.fail("it goes on to write")
-        disk.write(WRITES[3])
-        disk.thread.join(10)
-        self.assertFalse(disk.thread.is_alive())
-        disk.database.close()
+        storage.sync = fail
+        self.assertEqual(self.put(storage, WRITES[2:3]), ["disk I/O error"])
+        del storage.sync
+        storage.on_durable = lambda number: self.fail("it goes on to write")
+        storage.write(WRITES[3])
+        storage.thread.join(10)
+        self.assertFalse(storage.thread.is_alive())
+        storage.database.close()
         wanted = StoredState("identity", 2)
         for write in WRITES[:2]:
             wanted.apply(write)
-        again = self.disk()
+        again = self.storage()
         self.assertEqual(again.open(), wanted)
         again.close()
--- a/tests/consensus/test_stored_data.py
+++ b/tests/consensus/test_stored_data.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from foxspread.consensus.errors import StorageError
-from foxspread.consensus.storage import Storage
 from foxspread.consensus.records import StoredState
+from foxspread.consensus.storage import Storage
 from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[1] / "data" / "stored"
--- a/tests/consensus/test_wire_bytes.py
+++ b/tests/consensus/test_wire_bytes.py
@@ -27,8 +27,8 @@
     TimeoutNow,
 )
 from foxspread.consensus.records import LogEntry, MemberAddress, ObservedStorage, Snapshot, StorageIdentity
-from foxspread.consensus.wire import FORMAT, encode
 from foxspread.consensus.versions import PutVersion, Version, VersionHistory
+from foxspread.consensus.wire import FORMAT, encode
 
 RECORDED = pathlib.Path(__file__).parents[1] / "data/wire/consensus-messages.json"
 STAMP = StorageIdentity("0123456789abcdef", 3, "a1b2c3d4e5f6", 17, 42, 5)
--- a/tests/lab/processes/test_mutants.py
+++ b/tests/lab/processes/test_mutants.py
@@ -6,7 +6,6 @@
 from foxspread.lab.processes.judge import RULES
 from foxspread.lab.processes.virtual import Plan, World
 
-
 RARE = (
     "reads_by_old_round",
 )  # `foxspread lab processes mutants` looks for it; here it would take the longest
