--- a/foxspread/consensus/raft/__init__.py
+++ b/foxspread/consensus/raft/__init__.py
@@ -6,13 +6,13 @@
   extended version).
 - [T]: D. Ongaro, "Consensus: Bridging Theory and Practice" (thesis, Stanford 2014).
 
-One node is one state machine. `state` holds its typed state; each other module adds the methods of one
-concern to it, and calls the other concerns only through the methods that `state.RaftState` declares for
-that.
+One node is one state machine. `state` holds its typed state (of `types`); each other module adds the
+methods of one concern to it, and calls the other concerns only through the methods that `state.RaftState`
+declares for that.
 """
 
 from foxspread.consensus.raft.node import RaftNode
 from foxspread.consensus.raft.roles import LEGAL_TRANSITIONS, Role
-from foxspread.consensus.raft.state import RaftSettings, Ready
+from foxspread.consensus.raft.types import RaftSettings, Ready
 
 __all__ = ["LEGAL_TRANSITIONS", "RaftNode", "RaftSettings", "Ready", "Role"]
--- a/foxspread/consensus/raft/membership.py
+++ b/foxspread/consensus/raft/membership.py
@@ -7,7 +7,8 @@
 
 from foxspread.consensus.errors import RequestRejected
 from foxspread.consensus.messages import AppendEntries, InstallSnapshot
-from foxspread.consensus.raft.state import Progress, RaftState
+from foxspread.consensus.raft.state import RaftState
+from foxspread.consensus.raft.types import Progress
 from foxspread.consensus.records import LogEntry, MemberAddress, Members
 
 MAX_REMOVED_DISKS = 64  # remembered, so that a removed member's old folder can't vote; the oldest go
--- a/foxspread/consensus/raft/node.py
+++ b/foxspread/consensus/raft/node.py
@@ -31,17 +31,10 @@
 from foxspread.consensus.raft.replication import LogReplication
 from foxspread.consensus.raft.roles import Role
 from foxspread.consensus.raft.snapshots import Snapshots
-from foxspread.consensus.raft.state import (
-    NO_MEMBERSHIP,
-    AppliedEntry,
-    RaftSettings,
-    RaftState,
-    Ready,
-    ReceivedHostMessage,
-    majority,
-)
+from foxspread.consensus.raft.state import NO_MEMBERSHIP, RaftState, majority
 from foxspread.consensus.raft.storage_check import StorageChecks
 from foxspread.consensus.raft.transfer import Transfer
+from foxspread.consensus.raft.types import AppliedEntry, RaftSettings, Ready, ReceivedHostMessage
 from foxspread.consensus.records import Members, Snapshot, StoredState
 
 INCARNATION_BITS = 48  # of randomness in an incarnation's id
--- a/foxspread/consensus/raft/persistence.py
+++ b/foxspread/consensus/raft/persistence.py
@@ -7,7 +7,8 @@
 
 from foxspread.consensus.messages import Envelope, Message
 from foxspread.consensus.raft.roles import Role
-from foxspread.consensus.raft.state import DelayedMessage, PendingWrite, RaftState
+from foxspread.consensus.raft.state import RaftState
+from foxspread.consensus.raft.types import DelayedMessage, PendingWrite
 from foxspread.consensus.records import LogEntry, Snapshot, StorageWrite
 from foxspread.consensus.wire import FORMAT
 
--- a/foxspread/consensus/raft/reads.py
+++ b/foxspread/consensus/raft/reads.py
@@ -8,7 +8,8 @@
 from foxspread.consensus.errors import RequestRejected
 from foxspread.consensus.messages import ReadIndex, ReadIndexReply
 from foxspread.consensus.raft.roles import Role
-from foxspread.consensus.raft.state import IndexedRead, PendingRead, RaftState, ReadResult, majority
+from foxspread.consensus.raft.state import RaftState, majority
+from foxspread.consensus.raft.types import IndexedRead, PendingRead, ReadResult
 
 MAX_PENDING_READS = 4096  # of one node; more are rejected, so that a slow majority can't fill the memory
 
--- a/foxspread/consensus/raft/replication.py
+++ b/foxspread/consensus/raft/replication.py
@@ -12,7 +12,8 @@
     InstallSnapshotReply,
 )
 from foxspread.consensus.raft.roles import Role
-from foxspread.consensus.raft.state import Progress, RaftState, majority
+from foxspread.consensus.raft.state import RaftState, majority
+from foxspread.consensus.raft.types import Progress
 from foxspread.consensus.records import LogEntry
 
 RESEND_AFTER_HEARTBEATS = 4  # entries that are not acknowledged for so many intervals are taken as lost
--- a/foxspread/consensus/raft/snapshots.py
+++ b/foxspread/consensus/raft/snapshots.py
@@ -11,7 +11,8 @@
     InstallSnapshotReply,
 )
 from foxspread.consensus.raft.log import RaftLog
-from foxspread.consensus.raft.state import IncomingSnapshot, Progress, RaftState
+from foxspread.consensus.raft.state import RaftState
+from foxspread.consensus.raft.types import IncomingSnapshot, Progress
 from foxspread.consensus.records import Snapshot
 
 
--- a/foxspread/consensus/raft/transfer.py
+++ b/foxspread/consensus/raft/transfer.py
@@ -7,7 +7,8 @@
 from foxspread.consensus.errors import RequestRejected
 from foxspread.consensus.messages import TimeoutNow
 from foxspread.consensus.raft.roles import Role
-from foxspread.consensus.raft.state import LeadershipTransfer, RaftState
+from foxspread.consensus.raft.state import RaftState
+from foxspread.consensus.raft.types import LeadershipTransfer
 
 
 class Transfer(RaftState):
--- a/tests/consensus/raft/test_reads.py
+++ b/tests/consensus/raft/test_reads.py
@@ -3,7 +3,7 @@
 from foxspread.consensus.errors import RequestRejected
 from foxspread.consensus.messages import AppendEntries, AppendEntriesReply, ReadIndex, ReadIndexReply
 from foxspread.consensus.raft import RaftNode
-from foxspread.consensus.raft.state import ReadResult
+from foxspread.consensus.raft.types import ReadResult
 from foxspread.consensus.records import LogEntry
 from tests.consensus.raft.nodes import ELECTION_S, follower, leader, make_durable, receive, sent
 
