--- a/foxspread/consensus/client.py
+++ b/foxspread/consensus/client.py
@@ -22,13 +22,15 @@
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 READ_BYTES = 64 * 1024
 
+JsonObject = dict[str, Any]  # by the keys of docs/operators/coordinators.md
+
 
 @dataclass(frozen=True)
 class Reply:
     """A coordinator's reply: HTTP status code, JSON value, and who sent it."""
 
     code: int
-    value: dict[str, Any]
+    value: JsonObject
     address: Address
 
 
@@ -160,10 +162,10 @@
         """Asks a member to lead."""
         return await self._call("POST", "/hand-over", json.dumps({"to": target}).encode())
 
-    async def statuses(self) -> list[tuple[Address, dict[str, Any] | str]]:
+    async def statuses(self) -> list[tuple[Address, JsonObject | str]]:
         """The status of all, asked at once; a text where one doesn't answer."""
 
-        async def status(address: Address) -> dict[str, Any] | str:
+        async def status(address: Address) -> JsonObject | str:
             try:
                 return (await call(address, "GET", "/status", within=STATUS_TIMEOUT_S)).value
             except (OSError, TimeoutError, http.BadMessage) as error:
--- a/foxspread/consensus/coordinator.py
+++ b/foxspread/consensus/coordinator.py
@@ -13,6 +13,7 @@
 from foxspread.consensus.errors import RequestRejected
 from foxspread.consensus.messages import Envelope
 from foxspread.consensus.raft import RaftNode, RaftSettings, Ready, Role
+from foxspread.consensus.raft.types import ProposedEntry
 from foxspread.consensus.records import LogEntry, Members, Snapshot, StorageWrite, StoredState
 from foxspread.consensus.versions import PutVersion, VersionStore
 from foxspread.consensus.wire import encode
@@ -64,9 +65,9 @@
 
 @dataclass(frozen=True)
 class Watch:
-    """A call that waits for a version later than `known_version`, until `deadline`."""
+    """A call that waits for a version later than `after_version`, until `deadline`."""
 
-    known_version: int
+    after_version: int
     deadline: float
 
 
@@ -117,15 +118,16 @@
         """Adds or removes (`address` None) a member; answered when that is committed."""
         self._write(now, token, lambda: self.raft.change_membership(now, node_id, address))
 
-    def _write(self, now: float, token: int, propose: Callable[[], tuple[int, int]]) -> None:
+    def _write(self, now: float, token: int, propose: Callable[[], ProposedEntry]) -> None:
         if not self._has_capacity(token):
             return
         try:
-            index, term = propose()
+            entry = propose()
         except RequestRejected as error:
             return self._reject(token, str(error))
-        self.calls[token] = PendingCall(token, now + self.answer_timeout_s, index=index, term=term)
-        self.token_by_index[index] = token
+        deadline = now + self.answer_timeout_s
+        self.calls[token] = PendingCall(token, deadline, index=entry.index, term=entry.term)
+        self.token_by_index[entry.index] = token
 
     def get(self, now: float, token: int, number: int = 0) -> None:
         """A version; the latest one (0) is a linearizable read.
@@ -142,17 +144,17 @@
             return self._reject(token, str(error))
         self.calls[token] = PendingCall(token, now + self.answer_timeout_s, number)
 
-    def watch(self, now: float, token: int, known_version: int, wait: float) -> None:
+    def watch(self, now: float, token: int, after_version: int, wait: float) -> None:
         """The latest version of this node, once it is later than the known one, or after `wait` seconds.
 
         Any node answers, and it may lag behind the leader.
         """
-        if self.versions.latest > known_version:
+        if self.versions.latest > after_version:
             self._answer(token, Status.DONE, self.versions.get())
         elif len(self.watches) >= MAX_WATCHES:
             self.answers.append(Answer(token, Status.REJECTED, f"{MAX_WATCHES} calls watch already"))
         else:
-            self.watches[token] = Watch(known_version, now + wait)
+            self.watches[token] = Watch(after_version, now + wait)
 
     def transfer_leadership(self, now: float, token: int, target: str) -> None:
         """Asks `target` to lead; answered when the transfer has begun."""
@@ -214,7 +216,7 @@
 
     def _answer_watches(self, now: float) -> None:
         for token, watch in list(self.watches.items()):
-            if self.versions.latest > watch.known_version or watch.deadline <= now:
+            if self.versions.latest > watch.after_version or watch.deadline <= now:
                 del self.watches[token]
                 self._answer(token, Status.DONE, self.versions.get())
 
--- a/foxspread/consensus/http_api.py
+++ b/foxspread/consensus/http_api.py
@@ -32,12 +32,13 @@
 MAX_DIGITS = 11  # of a version's number
 MAX_REFUSALS = (1 << 20) - 1
 HTTP_STATUS = {Status.DONE: 200, Status.NOT_LEADER: 421, Status.REJECTED: 400, Status.UNKNOWN: 504}
+JsonObject = dict[str, Any]  # by the keys of docs/operators/coordinators.md
 IDENTIFIER = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 
 
 def json_reply(code: int, **values: Any) -> HttpReply:
     """A reply with these keys."""
-    return code, json.dumps(values).encode() + b"\n"
+    return HttpReply(code, json.dumps(values).encode() + b"\n")
 
 
 def rejected_reply(code: int, reason: str) -> HttpReply:
@@ -66,9 +67,9 @@
     return int(text or 0)
 
 
-def put_request(body: bytes) -> tuple[PutVersion, dict[str, Any]]:
+def put_request(body: bytes) -> tuple[PutVersion, JsonObject]:
     """The put that a request asks for, and all its keys. Raises ValueError, `msgspec.DecodeError`."""
-    keys = msgspec.json.decode(body, type=dict[str, Any])
+    keys = msgspec.json.decode(body, type=JsonObject)
     content = keys.get("content")
     if not isinstance(content, str):
         raise ValueError("'content' must be text")
@@ -142,7 +143,7 @@
     return json_reply(200, status="done", versions=[version_json(each, False) for each in versions])
 
 
-def version_json(version: Version, with_content: bool) -> dict[str, Any]:
+def version_json(version: Version, with_content: bool) -> JsonObject:
     """A version as the interface shows it."""
     shown = {
         "number": version.number,
--- a/foxspread/consensus/process.py
+++ b/foxspread/consensus/process.py
@@ -18,6 +18,7 @@
 from foxspread.consensus.configuration import CoordinatorConfig
 from foxspread.consensus.coordinator import Answer, Coordinator
 from foxspread.consensus.errors import ForeignMessageError, InvariantViolation
+from foxspread.consensus.http_api import JsonObject
 from foxspread.consensus.messages import Envelope
 from foxspread.consensus.raft import Role
 from foxspread.consensus.records import MemberAddress
@@ -172,14 +173,14 @@
         try:
             envelope = wire.decode_for(body, self.config.fleet, self.config.name)
         except ForeignMessageError as error:
-            return 403, f"{self._count_foreign(str(error))}\n".encode()
+            return HttpReply(403, f"{self._count_foreign(str(error))}\n".encode())
         if not self._is_plausible(envelope):
-            return 403, b"an id that can't be one\n"
+            return HttpReply(403, b"an id that can't be one\n")
         self.received += 1
         if envelope.sender in self.connections:
             self.connections[envelope.sender].reconnect_now()
         self._input(self.host.receive, envelope)
-        return 200, b""
+        return HttpReply(200, b"")
 
     def _is_plausible(self, envelope: Envelope) -> bool:
         """Bounds what strangers can make this process remember."""
@@ -236,7 +237,7 @@
         self.check_against_latest(put.content, keys)
         return self._reply(await self._submit(self.host.put, put))
 
-    def check_against_latest(self, content: bytes, keys: dict[str, Any]) -> None:
+    def check_against_latest(self, content: bytes, keys: JsonObject) -> None:
         """For subclasses: a further check beside the latest version. Raises `ConfigError`."""
 
     def _reply(self, answer: Answer, with_content: bool = False) -> HttpReply:
@@ -244,7 +245,7 @@
 
     # Status
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> JsonObject:
         """What `coordinator status --json` shows; its keys are part of the interface."""
         raft = self.host.raft
         return {
@@ -270,7 +271,7 @@
             "connections": len(self.server.connections),
         }
 
-    def _member_status(self, name: str, member: MemberAddress) -> dict[str, Any]:
+    def _member_status(self, name: str, member: MemberAddress) -> JsonObject:
         connection = self.connections.get(name)
         return {
             "address": member.address,
@@ -279,7 +280,7 @@
             "trouble": connection.last_error if connection is not None else "",
         }
 
-    def _storage_status(self) -> dict[str, Any]:
+    def _storage_status(self) -> JsonObject:
         return {
             "commits": self.storage.commits,
             "records": self.storage.records,
--- a/foxspread/consensus/raft/membership.py
+++ b/foxspread/consensus/raft/membership.py
@@ -8,7 +8,7 @@
 from foxspread.consensus.errors import RequestRejected
 from foxspread.consensus.messages import AppendEntries, InstallSnapshot
 from foxspread.consensus.raft.state import RaftState
-from foxspread.consensus.raft.types import Progress
+from foxspread.consensus.raft.types import Progress, ProposedEntry
 from foxspread.consensus.records import LogEntry, MemberAddress, Members
 
 MAX_REMOVED_DISKS = 64  # remembered, so that a removed member's old folder can't vote; the oldest go
@@ -17,17 +17,17 @@
 class Membership(RaftState):
     """Who belongs to the cluster, and who of them votes."""
 
-    def change_membership(self, now: float, node_id: str, address: str | None) -> tuple[int, int]:
+    def change_membership(self, now: float, node_id: str, address: str | None) -> ProposedEntry:
         """Adds a learner, which becomes a voter once it has caught up, or removes a member (`address` None).
 
-        Returns index and term of the entry. Raises `RequestRejected`.
+        Raises `RequestRejected`.
         """
         self._advance_clock(now)
         self._require_accepting_leader()
         if self._membership_change_in_progress():
             raise RequestRejected("a change of members is under way, or it has just been elected: try again")
         members = self._without(node_id) if address is None else self._with_learner(node_id, address)
-        return self._append_as_leader(LogEntry(self.current_term, members=members)), self.current_term
+        return self._append_as_leader(LogEntry(self.current_term, members=members))
 
     def _without(self, node_id: str) -> Members:
         if node_id not in self.members:
--- a/foxspread/consensus/raft/replication.py
+++ b/foxspread/consensus/raft/replication.py
@@ -13,7 +13,7 @@
 )
 from foxspread.consensus.raft.roles import Role
 from foxspread.consensus.raft.state import RaftState, majority
-from foxspread.consensus.raft.types import Progress
+from foxspread.consensus.raft.types import Progress, ProposedEntry
 from foxspread.consensus.records import LogEntry
 
 RESEND_AFTER_HEARTBEATS = 4  # entries that are not acknowledged for so many intervals are taken as lost
@@ -24,14 +24,14 @@
 
     # The leader's log
 
-    def propose(self, now: float, body: bytes) -> tuple[int, int]:
-        """Index and term of a new entry; it is committed once `take` returns it with that term.
+    def propose(self, now: float, body: bytes) -> ProposedEntry:
+        """Appends an entry; it is committed once `take` returns it with the term that is given here.
 
         Raises `RequestRejected`.
         """
         self._advance_clock(now)
         self._require_accepting_leader()
-        return self._append_as_leader(LogEntry(self.current_term, body)), self.current_term
+        return self._append_as_leader(LogEntry(self.current_term, body))
 
     def _require_accepting_leader(self) -> None:
         if self.role is not Role.LEADER:
@@ -42,15 +42,16 @@
         if uncommitted >= self.settings.max_uncommitted_entries:
             raise RequestRejected(f"{uncommitted} entries wait already")
 
-    def _append_as_leader(self, entry: LogEntry) -> int:
+    def _append_as_leader(self, entry: LogEntry) -> ProposedEntry:
         self.log.append(entry)
         if entry.members is not None:
             self.members, self.members_index = entry.members, self.log.last_index
             self._track_peers()
         self._persist(self.log.last_index, [entry])
+        position = ProposedEntry(self.log.last_index, entry.term)
         for peer in self.progress:
             self._replicate_to(peer)
-        return self.log.last_index
+        return position
 
     def _track_peers(self) -> None:
         """Keeps the progress of the present peers, and begins that of new ones."""
--- a/foxspread/consensus/raft/state.py
+++ b/foxspread/consensus/raft/state.py
@@ -19,6 +19,7 @@
     PendingRead,
     PendingWrite,
     Progress,
+    ProposedEntry,
     RaftSettings,
     Ready,
 )
@@ -171,7 +172,7 @@
 
     # Offered by `replication`.
 
-    def _append_as_leader(self, entry: LogEntry) -> int:
+    def _append_as_leader(self, entry: LogEntry) -> ProposedEntry:
         raise NotImplementedError
 
     def _track_peers(self) -> None:
--- a/foxspread/consensus/raft/types.py
+++ b/foxspread/consensus/raft/types.py
@@ -77,6 +77,14 @@
     confirmed: bool
 
 
+@dataclass(frozen=True)
+class ProposedEntry:
+    """Where a proposal is in the log: it is committed if the entry at `index` is, with `term`."""
+
+    index: int
+    term: int
+
+
 class AppliedEntry(NamedTuple):
     """A committed entry, for the state machine."""
 
--- a/foxspread/consensus/transport.py
+++ b/foxspread/consensus/transport.py
@@ -8,6 +8,7 @@
 import socket
 from collections import deque
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -32,7 +33,14 @@
 STABLE_CONNECTION_S = 5.0  # a connection that lasted longer resets the backoff
 SHOWN_REPLY_BYTES = 200  # of a refusal, for people
 
-HttpReply = tuple[int, bytes]
+
+class HttpReply(NamedTuple):
+    """What is replied to a request: an HTTP status code, and a JSON body."""
+
+    status: int
+    body: bytes
+
+
 Handler = Callable[[http.Message], Awaitable[HttpReply]]
 
 
--- a/tests/consensus/raft/test_membership.py
+++ b/tests/consensus/raft/test_membership.py
@@ -37,7 +37,7 @@
 
     def test_a_learner_votes_once_it_has_caught_up(self) -> None:
         node = single_leader()
-        index, _ = node.change_membership(ELECTION_S, "c2", "a:2")
+        index = node.change_membership(ELECTION_S, "c2", "a:2").index
         make_durable(node)
         self.assertFalse(node.members["c2"].voter)
         joining = StorageIdentity("disk", 1, "run", 0, 0)  # it has not learnt of its membership yet
--- a/tests/consensus/raft/test_replication.py
+++ b/tests/consensus/raft/test_replication.py
@@ -17,15 +17,16 @@
 class Leader(unittest.TestCase):
     def test_an_entry_is_committed_once_a_majority_has_it(self) -> None:
         node = leader()
-        index, term = node.propose(ELECTION_S, b"command")
+        proposed = node.propose(ELECTION_S, b"command")
         make_durable(node)
         self.assertEqual(node.commit_index, 0)
-        receive(node, "c2", AppendEntriesReply(1, True, index, 0), ELECTION_S)
-        self.assertEqual((node.commit_index, make_durable(node).entries[-1].entry.term), (index, term))
+        receive(node, "c2", AppendEntriesReply(1, True, proposed.index, 0), ELECTION_S)
+        self.assertEqual(node.commit_index, proposed.index)
+        self.assertEqual(make_durable(node).entries[-1].entry, LogEntry(proposed.term, b"command"))
 
     def test_a_leader_s_own_copy_counts_only_once_it_is_durable(self) -> None:
         node = leader()
-        index, _ = node.propose(ELECTION_S, b"command")
+        index = node.propose(ELECTION_S, b"command").index
         receive(node, "c2", AppendEntriesReply(1, True, index, 0), ELECTION_S)
         self.assertEqual(node.commit_index, index - 1)
         make_durable(node)
