--- a/foxspread/orchard/membership/views.py
+++ b/foxspread/mesh/gossip/partial_view.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from foxspread.orchard.settings import Address
+from foxspread.mesh.settings import Address
 
 SIZE = 10  # neighbours in a view, at the most
 GIVEN = 4  # of them told in one shuffle, the teller itself included
@@ -20,19 +20,19 @@
 class Neighbour:
     node: str
     place: Address  # where it hears its own kind
-    keeps: bool  # it holds the state on a disk
+    has_storage: bool  # it holds the state on a disk
     age: int = 0  # shuffles since it said so itself
 
     def packed(self) -> list:
-        return [self.node, list(self.place), self.keeps, self.age]
+        return [self.node, list(self.place), self.has_storage, self.age]
 
 
-def neighbour(row: list) -> Neighbour:
-    node, place, keeps, age = row
-    return Neighbour(str(node), (str(place[0]), int(place[1])), bool(keeps), int(age))
+def unpack_neighbour(row: list) -> Neighbour:
+    node, place, has_storage, age = row
+    return Neighbour(str(node), (str(place[0]), int(place[1])), bool(has_storage), int(age))
 
 
-class View:
+class PartialView:
     def __init__(self, me: Neighbour, draw: Callable[[], float]) -> None:
         self.me, self.draw = me, draw
         self.of: dict[str, Neighbour] = {}
@@ -65,7 +65,7 @@
 
     def heard(self, message: dict[str, Any]) -> dict[str, Any] | None:
         """A shuffle of another, or the answer to ours; returns what to answer."""
-        told = [neighbour(row) for row in message["view"]]
+        told = [unpack_neighbour(row) for row in message["view"]]
         if message["t"] == "shuffled":
             self._put(told, self.given.pop(message["node"], []))
             return None
@@ -76,7 +76,7 @@
 
     def some_sides(self, count: int) -> list[Neighbour]:
         """A few that hold no state, at random: asked for news where no machine with a disk can be reached."""
-        return self._drawn([each for each in self.of.values() if not each.keeps], count)
+        return self._drawn([each for each in self.of.values() if not each.has_storage], count)
 
     def _told(self, kind: str, some: list[Neighbour]) -> dict[str, Any]:
         return {"t": kind, "node": self.me.node, "view": [each.packed() for each in (self.me, *some)]}
--- a/foxspread/orchard/nursery/plot.py
+++ b/foxspread/mesh/local_cluster/layout.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from foxspread.orchard.settings import Address
+from foxspread.mesh.settings import Address
 
 FILE = "plot.json"
 NET = "127.0.1"
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Plot:
+class Layout:
     folder: pathlib.Path
     machines: tuple[Machine, ...]
 
@@ -59,13 +59,13 @@
         return [self.file(each.node, "server.jsonl") for each in self.of(SIDE)]
 
 
-class PlotError(Exception):
+class LayoutError(Exception):
     """What stands in the way, for whoever called."""
 
 
-def laid(folder: str, core: int, side: int, net: str = NET) -> Plot:
+def create_layout(folder: str, core: int, side: int, net: str = NET) -> Layout:
     if core < 1 or side < 1 or core + side > MOST:
-        raise PlotError(f"--core {core} --side {side}: at least one of each, {MOST} together at the most")
+        raise LayoutError(f"--core {core} --side {side}: at least one of each, {MOST} together at the most")
     ips = (f"{net}.{number}" for number in range(1, MOST + 1))
     machines = [
         Machine(f"core-{number + 1}", CORE, next(ips), ZONES[number % len(ZONES)]) for number in range(core)
@@ -80,32 +80,32 @@
         )
         for number in range(side)
     ]
-    return Plot(pathlib.Path(folder).absolute(), tuple(machines))
+    return Layout(pathlib.Path(folder).absolute(), tuple(machines))
 
 
-def prepare(plot: Plot, faults: dict[str, float]) -> None:
+def prepare(layout: Layout, faults: dict[str, float]) -> None:
     """Writes every settings file. What the disks of an earlier time hold stays, and then it is no first
     start."""
-    first = not any(plot.file(each.node, "data").exists() for each in plot.of(CORE))
-    for number, machine in enumerate(plot.machines):
-        plot.file(machine.node, "").mkdir(parents=True, exist_ok=True)
-        write_settings(plot, machine, first)
+    first = not any(layout.file(each.node, "data").exists() for each in layout.of(CORE))
+    for number, machine in enumerate(layout.machines):
+        layout.file(machine.node, "").mkdir(parents=True, exist_ok=True)
+        write_settings(layout, machine, first)
         if machine.kind == SIDE:
-            written(plot.file(machine.node, "server.json"), server(plot, machine, number, faults))
-    rows = [[each.node, each.kind, each.ip, each.zone, each.service] for each in plot.machines]
-    written(plot.folder / FILE, {"machines": rows})
+            written(layout.file(machine.node, "server.json"), server(layout, machine, number, faults))
+    rows = [[each.node, each.kind, each.ip, each.zone, each.service] for each in layout.machines]
+    written(layout.folder / FILE, {"machines": rows})
 
 
-def read(folder: str) -> Plot:
+def read(folder: str) -> Layout:
     path = pathlib.Path(folder).absolute() / FILE
     try:
         rows = orjson.loads(path.read_bytes())["machines"]
     except (OSError, ValueError, KeyError) as error:
-        raise PlotError(f"{path}: {error}: is it the folder of an `up`?") from None
-    return Plot(path.parent, tuple(Machine(*row) for row in rows))
+        raise LayoutError(f"{path}: {error}: is it the folder of an `up`?") from None
+    return Layout(path.parent, tuple(Machine(*row) for row in rows))
 
 
-def settings(plot: Plot, machine: Machine, first: bool) -> dict[str, Any]:
+def settings(layout: Layout, machine: Machine, first: bool) -> dict[str, Any]:
     """What the platform would tell that process (DEPLOY's example)."""
     core = machine.kind == CORE
     names = ("control",) if core else ("inbound", "outbound", "ready", "control")
@@ -120,10 +120,10 @@
         "zones": dict.fromkeys(ZONES, "orchard"),
         "counters": {name: f"{machine.ip}:{PORTS[name]}" for name in names},
         "inner_ports": list(INNER),
-        "seeds": [f"{each.ip}:{PORTS['control']}" for each in plot.of(CORE)[:SEEDS]],
+        "seeds": [f"{each.ip}:{PORTS['control']}" for each in layout.of(CORE)[:SEEDS]],
         "first_start": first,
         "limits": {"memory_mb": 300, "file_handles": 4096},
-        "data_dir": str(plot.file(machine.node, "data")) if core else None,
+        "data_dir": str(layout.file(machine.node, "data")) if core else None,
         "heartbeat_s": HEARTBEAT_S,
         "tolerate": {"machines": 1},
         "bounds": [f"{name}={value}" for name, value in BOUNDS.items()],
@@ -133,11 +133,11 @@
     return told
 
 
-def write_settings(plot: Plot, machine: Machine, first: bool) -> None:
-    written(plot.file(machine.node, "node.json"), settings(plot, machine, first))
+def write_settings(layout: Layout, machine: Machine, first: bool) -> None:
+    written(layout.file(machine.node, "node.json"), settings(layout, machine, first))
 
 
-def server(plot: Plot, machine: Machine, number: int, faults: dict[str, float]) -> dict[str, Any]:
+def server(layout: Layout, machine: Machine, number: int, faults: dict[str, float]) -> dict[str, Any]:
     """Of the stand-in server beside that machine's sidecar."""
     return {
         "service": machine.service,
@@ -148,7 +148,7 @@
         "drain_s": BOUNDS["drain_s"],
         "seed": number,
         "faults": faults,
-        "ledger": str(plot.file(machine.node, "server.jsonl")),
+        "ledger": str(layout.file(machine.node, "server.jsonl")),
     }
 
 
--- a/foxspread/orchard/nursery/growing.py
+++ b/foxspread/mesh/local_cluster/supervisor.py
@@ -10,21 +10,21 @@
 from collections.abc import Callable
 
 import foxspread
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.nursery.plot import (
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.local_cluster.layout import (
     APP,
     CORE,
     INNER,
     PORTS,
     SIDE,
-    Plot,
-    PlotError,
+    Layout,
+    LayoutError,
     prepare,
     write_settings,
 )
-from foxspread.orchard.settings import FILE_VARIABLE, Address, shown
-from foxspread.orchard.stand_ins.asking import asked, written
-from foxspread.orchard.stand_ins.ledger import rows
+from foxspread.mesh.settings import FILE_VARIABLE, Address, format_address
+from foxspread.mesh.emulators.http_call import asked, encode_request
+from foxspread.mesh.emulators.event_record import rows
 
 ROOT = pathlib.Path(foxspread.__file__).parents[1]
 AGAIN_S = 0.3  # after its end, until a process is started again
@@ -79,17 +79,17 @@
         return len(self.ends) > ENDS_MOST
 
 
-class Nursery:
-    def __init__(self, plot: Plot, say: Say, faults: dict[str, float] | None = None) -> None:
+class Supervisor:
+    def __init__(self, layout: Layout, say: Say, faults: dict[str, float] | None = None) -> None:
         """`faults`: of the servers."""
-        self.plot, self.say, self.faults = plot, say, faults or {}
+        self.layout, self.say, self.faults = layout, say, faults or {}
         self.nodes, self.servers = [], []
-        for machine in plot.machines:
-            folder = plot.file(machine.node, "")
+        for machine in layout.machines:
+            folder = layout.file(machine.node, "")
             variables = {FILE_VARIABLE: str(folder / "node.json")}
-            self.nodes.append(Child(machine.node, folder, ["foxspread.orchard", "node"], variables))
+            self.nodes.append(Child(machine.node, folder, ["foxspread.mesh", "node"], variables))
             if machine.kind == SIDE:
-                arguments = ["foxspread.orchard.stand_ins.server", str(folder / "server.json")]
+                arguments = ["foxspread.mesh.emulators.server", str(folder / "server.json")]
                 self.servers.append(Child(f"server-of-{machine.node}", folder, arguments, {}))
         self.ending = False
         self.keeping: dict[Child, asyncio.Task[None]] = {}
@@ -99,8 +99,8 @@
 
     async def run(self, stop: asyncio.Event, up: Callable[[], None] = lambda: None) -> None:
         """Until `stop`, or until something can't be kept up, which is raised; nothing runs on after it."""
-        free(self.plot)
-        prepare(self.plot, self.faults)
+        free(self.layout)
+        prepare(self.layout, self.faults)
         stopped = asyncio.get_running_loop().create_task(stop.wait())
         try:
             for child in (*self.nodes, *self.servers):
@@ -110,8 +110,8 @@
             await asyncio.wait([ready, stopped, self.lost], return_when=asyncio.FIRST_COMPLETED)
             if ready.done():
                 ready.result()
-                for machine in self.plot.machines:
-                    write_settings(self.plot, machine, first=False)
+                for machine in self.layout.machines:
+                    write_settings(self.layout, machine, first=False)
                 up()
                 await asyncio.wait([stopped, self.lost], return_when=asyncio.FIRST_COMPLETED)
             ready.cancel()
@@ -126,21 +126,21 @@
         Sidecars say that they are ready only once there is a configuration."""
         lanes, until = Lanes(time.monotonic, 5.0), time.monotonic() + READY_WITHIN_S
         waits: list[tuple[str, Address, str, tuple[int, ...]]] = []
-        for machine in self.plot.machines:
+        for machine in self.layout.machines:
             if machine.kind == CORE:
                 waits.append((machine.node, machine.place("control"), "/api/Config.Get", (200,)))
             else:
                 waits.append((machine.node, machine.place("ready"), "/api/ready", (200, 503)))
         known = [
-            (f"the server of {each.node}", self.plot.file(each.node, "server.jsonl"))
-            for each in self.plot.of(SIDE)
+            (f"the server of {each.node}", self.layout.file(each.node, "server.jsonl"))
+            for each in self.layout.of(SIDE)
         ]
         began = time.monotonic() - LOOK_S
         try:
             while waits or known:
                 if time.monotonic() > until:
                     left = [each[0] for each in (*waits, *known)]
-                    raise PlotError(f"not up within {READY_WITHIN_S:g} s: {', '.join(left)}: see the logs")
+                    raise LayoutError(f"not up within {READY_WITHIN_S:g} s: {', '.join(left)}: see the logs")
                 await asyncio.sleep(LOOK_S)
                 waits = [each for each in waits if not await self._answers(lanes, *each[1:])]
                 known = [each for each in known if not _acknowledged(each[1], began)]
@@ -148,7 +148,7 @@
             lanes.close_all()
 
     async def _answers(self, lanes: Lanes, place: Address, target: str, good: tuple[int, ...]) -> bool:
-        reply = await asked(lanes, place, written("GET", target, shown(place)), 1.0)
+        reply = await asked(lanes, place, encode_request("GET", target, format_address(place)), 1.0)
         return reply.status in good
 
     async def _keep(self, child: Child) -> None:
@@ -159,7 +159,7 @@
             if child.often():
                 if not self.lost.done():
                     often = f"{ENDS_MOST + 1} times within {ENDS_WITHIN_S:g} s"
-                    self.lost.set_exception(PlotError(f"{child.name} ended {often}: see {child.log}"))
+                    self.lost.set_exception(LayoutError(f"{child.name} ended {often}: see {child.log}"))
                 return
             self.say(f"{child.name} ended ({_told(code)}); it is started again")
             await asyncio.sleep(AGAIN_S)
@@ -186,9 +186,9 @@
             child.signal(kill=True)
 
 
-def free(plot: Plot) -> None:
+def free(layout: Layout) -> None:
     """Whether its addresses can be had; raised with the one that can't."""
-    for machine in plot.machines:
+    for machine in layout.machines:
         ports = [PORTS["control"], INNER[0]]
         ports += [*PORTS.values(), APP] if machine.kind == SIDE else []
         for port in ports:
@@ -197,16 +197,16 @@
                 try:
                     tried.bind((machine.ip, port))
                 except OSError as error:
-                    raise PlotError(
+                    raise LayoutError(
                         f"{machine.ip}:{port}: {error.strerror}: by another `up`, or processes of one that "
                         "was killed (their ids: */*.pid in its folder)? --net takes other addresses"
                     ) from None
 
 
-def pid_of(plot: Plot, node: str) -> int | None:
+def pid_of(layout: Layout, node: str) -> int | None:
     """Of the node's process, while it runs."""
     try:
-        return int(plot.file(node, f"{node}.pid").read_text())
+        return int(layout.file(node, f"{node}.pid").read_text())
     except (FileNotFoundError, ValueError):
         return None
 
--- a/foxspread/orchard/replication/keeper.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -5,33 +5,33 @@
 import asyncio
 from collections.abc import Callable
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.replication.disk import Disk
-from foxspread.orchard.replication.acceptor import Message
-from foxspread.orchard.replication.contact import Report
-from foxspread.orchard.replication.members import Members
-from foxspread.orchard.replication.replica import PATIENCE_S, Replica
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.acceptor import Message
+from foxspread.mesh.replication.quorum_contact import Report
+from foxspread.mesh.replication.membership import MemberSet
+from foxspread.mesh.replication.replica import PATIENCE_S, Replica
 
 ITEM_S = 0.0005  # more for each item of a call: a large one takes its time at each step
 CUT_OFF_S = 0.3  # for a call on a keeper without contact to a majority: its caller is to go elsewhere soon
 
 
-class Keeper(Replica):
+class ReplicaServer(Replica):
     def __init__(
         self,
         clock: Callable[[], float],
-        life: str,
+        incarnation: str,
         draw: Callable[[], float],
-        disk: Disk,
+        disk: Storage,
         send: Callable[[str, Message], bool],
-        settled: Callable[[list[Item]], None],
+        committed: Callable[[list[Item]], None],
     ) -> None:
-        super().__init__(clock, life, draw, disk.put, send, self._soon, settled)
+        super().__init__(clock, incarnation, draw, disk.put, send, self._soon, committed)
         self.disk = disk
         self.patience: Callable[[], float] = lambda: PATIENCE_S  # for a call that comes now, seconds
 
     @property
-    def members(self) -> Members:
+    def members(self) -> MemberSet:
         """The agreed members, as settled here."""
         return self.acceptor.members
 
@@ -41,8 +41,8 @@
             acceptor.me,
             acceptor.known and acceptor.voting,
             self.members.epoch,
-            acceptor.copy.upto,
-            max(acceptor.accepted, acceptor.copy.upto),
+            acceptor.learner.committed_number,
+            max(acceptor.accepted, acceptor.learner.committed_number),
             zone,
             leaving,
             hears,
--- a/foxspread/orchard/replication/catchup.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -10,19 +10,19 @@
 
 import orjson
 
-from foxspread.orchard.replication.copy import (
+from foxspread.mesh.replication.learner import (
     NONE,
     START,
-    Ballot,
-    Copy,
-    Place,
+    ProposalNumber,
+    Learner,
+    Offset,
     Row,
-    ballot,
-    packed_place,
-    place,
-    place_of,
-    sealed,
-    whole,
+    unpack_proposal_number,
+    pack_offset,
+    unpack_offset,
+    offset_of,
+    chunk_digest,
+    end_of_proposal,
 )
 
 Message = dict[str, Any]
@@ -35,32 +35,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReceivedRows:
     """The whole of what was lacking."""
 
-    upto: Ballot
+    committed_number: ProposalNumber
     rows: list[Row]
     replaced: bool  # it is the whole set, in the place of what is held: `Copy.replace`
     age: float | None  # seconds for which something newer that was acknowledged may be missing
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class ChunkRequest:
     peer: Hashable
-    after: Place
+    after: Offset
     at: float
 
 
-class CatchUp:
-    def __init__(self, copy: Copy, draw: Callable[[], float], bytes_a_second: float = float("inf")) -> None:
+class SnapshotTransfer:
+    def __init__(
+        self, learner: Learner, draw: Callable[[], float], bytes_a_second: float = float("inf")
+    ) -> None:
         """`copy`: what is held here; whoever is handed a `Taken` folds it in there. `bytes_a_second`: of rows
         as JSON, asked for at the most."""
-        self.copy, self.draw, self.bytes_a_second = copy, draw, bytes_a_second
-        self.has: dict[Hashable, Ballot] = {}
+        self.learner, self.draw, self.bytes_a_second = learner, draw, bytes_a_second
+        self.has: dict[Hashable, ProposalNumber] = {}
         self.shunned: dict[Hashable, float] = {}
         self.count = 0
-        self.askings: dict[int, Asking] = {}
-        self.waiting: Asking | None = None  # for its answer, until `until`
+        self.askings: dict[int, ChunkRequest] = {}
+        self.waiting: ChunkRequest | None = None  # for its answer, until `until`
         self.until = self.next_at = 0.0
         self.patience = ASKED_S
         self._begin(anew=False)
@@ -70,15 +72,17 @@
         self.anew, self.staged = anew, {}
         self.started = False
         self.cursor = START
-        self.since: Ballot | None = None  # no teller of what is staged, and not what is held here, was older
+        self.since: ProposalNumber | None = (
+            None  # no teller of what is staged, and not what is held here, was older
+        )
         self.ceiling = NONE  # the newest of these tellers
         self.below_since: float | None = None  # no peer holds as much as that
         self.waiting = None
         self.askings.clear()
 
-    def told(self, peer: Hashable, upto: Ballot) -> None:
+    def told(self, peer: Hashable, committed_number: ProposalNumber) -> None:
         """What that peer says it holds, of late."""
-        self.has[peer] = upto
+        self.has[peer] = committed_number
 
     def left(self, peer: Hashable) -> None:
         self.has.pop(peer, None)
@@ -88,7 +92,7 @@
 
     @property
     def behind(self) -> bool:
-        return max(self.has.values(), default=NONE) > self.copy.upto
+        return max(self.has.values(), default=NONE) > self.learner.committed_number
 
     def wake_at(self) -> float | None:
         if self.waiting is not None:
@@ -104,45 +108,49 @@
             if now < self.until:
                 return []
             self._failed(now, self.waiting.peer)
-        if self.started and self.copy.upto >= self.ceiling:
+        if self.started and self.learner.committed_number >= self.ceiling:
             self._begin(anew=False)  # learnt meanwhile by another way
         self._look_for_ceiling(now)
         if not self.behind or now < self.next_at:
             return []
         if not self.started:
-            self.cursor = START if self.anew else whole(self.copy.upto)
-            self.since = None if self.cursor == START else self.copy.upto
+            self.cursor = START if self.anew else end_of_proposal(self.learner.committed_number)
+            self.since = None if self.cursor == START else self.learner.committed_number
         peer = self._peer(now)
         if peer is None:
             return []
         self.count += 1
-        self.waiting = self.askings[self.count] = Asking(peer, self.cursor, now)
+        self.waiting = self.askings[self.count] = ChunkRequest(peer, self.cursor, now)
         self.askings.pop(self.count - ASKINGS_MOST, None)
         self.until = now + self.patience
-        message = {"t": "piece", "n": self.count, "after": packed_place(self.cursor)}
+        message = {"t": "piece", "n": self.count, "after": pack_offset(self.cursor)}
         if self.since is not None and self.since != self.cursor[0]:
             message["since"] = self.since
         return [(peer, message)]
 
-    def heard(self, now: float, peer: Hashable, message: Message) -> Taken | None:
+    def heard(self, now: float, peer: Hashable, message: Message) -> ReceivedRows | None:
         """A piece; once nothing is lacking any more, the whole."""
         asking = self.askings.get(message["n"])
         if asking is None or asking.peer != peer or asking.after != self.cursor:
             return None  # of what was asked of another meanwhile, or begun anew since
-        upto = ballot(message["upto"])
+        committed_number = unpack_proposal_number(message["upto"])
         if peer in self.has:
-            self.has[peer] = upto
+            self.has[peer] = committed_number
         if message.get("again"):
             self._begin(anew=True)
             return None
         rows, more = message["rows"], message["more"]
-        horizon = ballot(message.get("horizon", NONE))
-        if message["digest"] != sealed(rows, self.cursor, upto, more, horizon) or more and not rows:
+        horizon = unpack_proposal_number(message.get("horizon", NONE))
+        if (
+            message["digest"] != chunk_digest(rows, self.cursor, committed_number, more, horizon)
+            or more
+            and not rows
+        ):
             self._failed(now, peer)
             if self.shunned.keys() >= set(self._useful()):
                 self.next_at = now + self.draw() * self.patience
             return None
-        if upto < self.cursor[0]:
+        if committed_number < self.cursor[0]:
             self.waiting = None
             return None
         if self.since is not None and horizon > self.since:
@@ -152,29 +160,29 @@
         self.patience = min(ASKED_MOST_S, max(ASKED_S, TIMES_LAST * (now - asking.at)))
         if self.bytes_a_second < float("inf"):
             self.next_at = asking.at + len(orjson.dumps(rows)) / self.bytes_a_second
-        self.since = upto if self.since is None else min(self.since, upto)
-        self.ceiling = max(self.ceiling, upto)
+        self.since = committed_number if self.since is None else min(self.since, committed_number)
+        self.ceiling = max(self.ceiling, committed_number)
         for each in rows:
             self.staged[each[0], each[1]] = each
-        self.cursor = place_of(rows[-1]) if more else whole(upto)
-        if more or upto < self.ceiling:
+        self.cursor = offset_of(rows[-1]) if more else end_of_proposal(committed_number)
+        if more or committed_number < self.ceiling:
             return None
         told, replaced = list(self.staged.values()), self.anew
         self._begin(anew=False)
-        if upto <= self.copy.upto:
+        if committed_number <= self.learner.committed_number:
             return None
         age = message.get("age")
-        return Taken(upto, told, replaced, None if age is None else age + now - asking.at)
+        return ReceivedRows(committed_number, told, replaced, None if age is None else age + now - asking.at)
 
     @staticmethod
-    def answer(copy: Copy, message: Message, age: float | None, for_keeper: bool) -> Message:
+    def answer(learner: Learner, message: Message, age: float | None, for_keeper: bool) -> Message:
         """What a teller says to `piece`. A machine without a disk holds too little for one with a disk."""
-        after = place(message["after"])
-        since = ballot(message.get("since", after[0]))
+        after = unpack_offset(message["after"])
+        since = unpack_proposal_number(message.get("since", after[0]))
         told = {"t": "rows", "n": message["n"]}
-        if after != START and copy.horizon > since:
-            return {**told, "upto": copy.upto, "again": True}
-        return {**told, **copy.piece(after, bare=not for_keeper).packed(), "age": age}
+        if after != START and learner.horizon > since:
+            return {**told, "upto": learner.committed_number, "again": True}
+        return {**told, **learner.piece(after, bare=not for_keeper).packed(), "age": age}
 
     def _failed(self, now: float, peer: Hashable) -> None:
         self.waiting = None
@@ -184,7 +192,9 @@
     def _look_for_ceiling(self, now: float) -> None:
         """What is staged becomes a whole only with a teller no older than any before; where there is none,
         it is left after a while for one that can be had."""
-        if not self.started or any(upto >= self.ceiling for upto in self.has.values()):
+        if not self.started or any(
+            committed_number >= self.ceiling for committed_number in self.has.values()
+        ):
             self.below_since = None
         elif self.below_since is None:
             self.below_since = now
@@ -193,8 +203,16 @@
 
     def _useful(self) -> list[Hashable]:
         if not self.started:
-            return [peer for peer, upto in self.has.items() if upto > self.copy.upto]
-        return [peer for peer, upto in self.has.items() if whole(upto) > self.cursor]
+            return [
+                peer
+                for peer, committed_number in self.has.items()
+                if committed_number > self.learner.committed_number
+            ]
+        return [
+            peer
+            for peer, committed_number in self.has.items()
+            if end_of_proposal(committed_number) > self.cursor
+        ]
 
     def _peer(self, now: float) -> Hashable | None:
         """One with the newest that did not fail of late, or the one that failed longest ago."""
--- a/foxspread/orchard/simulation/faults.py
+++ b/foxspread/mesh/simulation/faults.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from foxspread.orchard.simulation.machines import Machine, Sidecar
+from foxspread.mesh.simulation.machines import Machine, Sidecar
 
 if TYPE_CHECKING:
-    from foxspread.orchard.simulation.agreement import Fleet
-    from foxspread.orchard.simulation.plan import Event
+    from foxspread.mesh.simulation.fleet import Fleet
+    from foxspread.mesh.simulation.schedule import Event
 
 CATCH_UP_S = 4.0  # after its start or return a machine counts as lost for so long
 GRACE_S = 6.0  # for one that leaves
@@ -126,8 +126,8 @@
     def _freeze(self, machine: Machine, seconds: float) -> bool | None:
         if not machine.up or machine.frozen or not self._bearable(machine):
             return False
-        machine.frozen, life = True, machine.life
-        self._until(seconds, machine, lambda: machine.thaw() if machine.life == life else None)
+        machine.frozen, incarnation = True, machine.incarnation
+        self._until(seconds, machine, lambda: machine.thaw() if machine.incarnation == incarnation else None)
 
     def _cut(self, machine: Machine, seconds: float, ways: str = "io") -> bool | None:
         return self._cut_off([machine], seconds, ways)
@@ -198,9 +198,11 @@
         """It says that it leaves, and ends once it may, at its grace in any case; then it comes back."""
         if self.whole or not machine.up or machine.frozen or not self._bearable(machine):
             return False
-        machine.leaving, life = True, machine.life
+        machine.leaving, incarnation = True, machine.incarnation
         self.leaving[machine.name] = seconds
-        self._until(GRACE_S, machine, lambda: self.has_left(machine) if machine.life == life else None)
+        self._until(
+            GRACE_S, machine, lambda: self.has_left(machine) if machine.incarnation == incarnation else None
+        )
 
     def has_left(self, machine: Machine) -> None:
         if machine.up and machine.leaving:
--- a/tests/orchard/helpers.py
+++ b/tests/mesh/helpers.py
@@ -7,18 +7,18 @@
 import testtools
 
 from foxspread.model import Outcome
-from foxspread.orchard.dataplane.caller import CallerDesk
-from foxspread.orchard.dataplane.errand import Steering
-from foxspread.orchard.dataplane.hop import Hop, HopDesk
-from foxspread.orchard.dataplane.lanes import Lanes
-from foxspread.orchard.dataplane.lasthop import LastHop
-from foxspread.orchard.dataplane.serving import Serving
-from foxspread.orchard.configuration.items import ROUTE, Item
-from foxspread.orchard.configuration.routes import RouteTable
-from foxspread.orchard.registry.lives import Lives
-from foxspread.orchard.registry.records import Record, Records, server
-from foxspread.orchard.health.upstreams import Upstreams
-from foxspread.orchard.settings import BOUNDS
+from foxspread.mesh.dataplane.caller import CallerDesk
+from foxspread.mesh.dataplane.errand import Steering
+from foxspread.mesh.dataplane.hop import Hop, HopDesk
+from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.dataplane.lasthop import LastHop
+from foxspread.mesh.dataplane.serving import Serving
+from foxspread.mesh.configuration.items import ROUTE, Item
+from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.registry.incarnations import InstanceTable
+from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_instance
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.settings import BOUNDS
 from foxspread.sums import Chance
 
 ENDED = list(Outcome)
@@ -353,18 +353,18 @@
     in `acts`, in the order in which requests reach them, whichever they are; then they answer."""
 
     def __init__(self, loop, others=("b", "c", "d"), beside=False, aim=0.5, **route_told):
-        self.loop, self.records, self.chance = loop, Records(), Chance(3)
+        self.loop, self.records, self.chance = loop, EndpointRecords(), Chance(3)
         self.upstreams, self.table = Upstreams(self.records), RouteTable()
         self.acts, self.seen, self.first_contact = [], [], []
-        self.knows, self.lives, self.hops, self.desks = True, {}, {}, {}
+        self.knows, self.instances, self.hops, self.desks = True, {}, {}, {}
         clock = loop.time
         self.table.put(route(target_s=aim, **route_told))
         self.app_lanes = []
         for name in ("me", *others):
-            lives = self.lives[name] = Lives(1.0, "z")
+            instances = self.instances[name] = InstanceTable(1.0, "z")
             lanes = Lanes(clock, 6.0)
             self.app_lanes.append(lanes)
-            self.hops[name] = Hop(clock, LastHop(lives, (name, 80), BOUNDS["drain_s"]), lanes)
+            self.hops[name] = Hop(clock, LastHop(instances, (name, 80), BOUNDS["drain_s"]), lanes)
             loop.places[name, 80] = self.a_server
             if name != "me":
                 self.desks[name] = HopDesk(clock, self.hops[name])
@@ -380,12 +380,12 @@
     def beat(self, name, sequence=1, state="ready", id=None, berths=4):
         id = id or f"i-{name}"
         told = {"service": "s1", "address": f"{name}:80", "berths": berths}
-        self.lives[name].beat(self.loop.now, id, told | {"state": state, "sequence": sequence})
+        self.instances[name].beat(self.loop.now, id, told | {"state": state, "sequence": sequence})
         self.publish(name, sequence)
 
     def publish(self, name, number):
-        rows = tuple(server(row) for row in self.lives[name].rows(self.loop.now))
-        self.records.take(self.loop.now, Record(name, (1, number), "z", "up", (name, 70), rows))
+        rows = tuple(unpack_instance(row) for row in self.instances[name].rows(self.loop.now))
+        self.records.take(self.loop.now, EndpointRecord(name, (1, number), "z", "up", (name, 70), rows))
         self.upstreams.fold(self.loop.now, name)
 
     def a_server(self):
--- a/tests/orchard/hollow/test_run.py
+++ b/tests/mesh/hollow/test_experiment.py
@@ -1,4 +1,4 @@
-"""Hollow sidecars beside real keepers: `python -m foxspread.orchard hollow`."""
+"""Hollow sidecars beside real keepers: `python -m foxspread.mesh hollow`."""
 
 import json
 import os
@@ -9,30 +9,30 @@
 import testtools
 from click.testing import CliRunner
 
-from foxspread.orchard.__main__ import main
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.configuration.reading import read
-from foxspread.orchard.hollow.run import Shape, configuration, keepers, sidecars, zone
-from foxspread.orchard.settings import Settings, taken
+from foxspread.mesh.__main__ import main
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.configuration.validation import parse_call
+from foxspread.mesh.hollow.experiment import Shape, configuration, keepers, sidecars, zone
+from foxspread.mesh.settings import Settings, settings_from
 
 
 class Laid(testtools.TestCase):
     def test_each_has_an_address_of_its_own_and_all_zones_have_some(self) -> None:
         # Guards: two at one address would be one; figures by zone want all zones filled alike.
         shape = Shape(a_process=200)
-        plot = keepers(shape, pathlib.Path("/nowhere"))
-        parts = sidecars(shape, plot, 1000)
+        layout = keepers(shape, pathlib.Path("/nowhere"))
+        parts = sidecars(shape, layout, 1000)
         self.assertEqual([200] * 5, [len(part) for part in parts])
-        told = [taken(row) for part in parts for row in part.values()]
+        told = [settings_from(row) for part in parts for row in part.values()]
         self.assertTrue(all(isinstance(each, Settings) for each in told))
-        self.assertEqual(1000 + 3, len({each.ip for each in told} | {each.ip for each in plot.machines}))
+        self.assertEqual(1000 + 3, len({each.ip for each in told} | {each.ip for each in layout.machines}))
         counts = [sum(each.zone == zone(shape, n) for each in told) for n in range(shape.zones)]
         self.assertEqual((13, 1000), (len(counts), sum(counts)))
         self.assertIn(max(counts) - min(counts), (0, 1))
 
     def test_its_first_configuration_is_a_valid_one(self) -> None:
         shape = Shape(services=5, routes=7)
-        found = list(read(json.dumps(configuration(shape)).encode()))
+        found = list(parse_call(json.dumps(configuration(shape)).encode()))
         self.assertEqual(13, sum(isinstance(each, Item) for each in found))
         self.assertEqual(13, sum(each is not None for each in found))
 
@@ -48,7 +48,7 @@
 
     def test_a_small_one_whole(self) -> None:
         # Guards: all phases, on real sockets and real keepers: every change arrives at all, and is counted.
-        folder = pathlib.Path(tempfile.mkdtemp(prefix="orchard-hollow-test-"))
+        folder = pathlib.Path(tempfile.mkdtemp(prefix="mesh-hollow-test-"))
         net = f"127.{10 + os.getpid() % 240}"
         options = ["--sizes", "8", "--a-process", "3", "--seconds", "2", "--net", net, "--services", "4"]
         options += ["--routes", "6", "--folder", str(folder / "f"), "--out", str(folder / "out.json")]
--- a/tests/orchard/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -2,10 +2,10 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import SERVICE, Item
-from foxspread.orchard.replication.copy import row
-from foxspread.orchard.replication.proposer import Proposer
-from foxspread.orchard.replication.acceptor import AHEAD_MOST, DISKS_MOST, Acceptor, Saved
+from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.replication.learner import pack_row
+from foxspread.mesh.replication.proposer import Proposer
+from foxspread.mesh.replication.acceptor import AHEAD_MOST, DISKS_MOST, Acceptor, Saved
 
 
 def service(name: str, version: int = 1, tag: int = 0) -> Item:
@@ -17,7 +17,7 @@
         # Guards the way of items to a machine that was cut off: its copy had them, its routes never did.
         acceptor = Acceptor("a", Saved((0, "a0"), ("a", "b", "c"), voting=True, known=True))
         accept = {"t": "accept", "b": (2, "b"), "e": 0, "s": (1, "b"), "since": (0, ""), "disks": {}}
-        accept |= {"ahead": [row(service("v"), (1, "b"))], "delta": [service("w").packed()]}
+        accept |= {"ahead": [pack_row(service("v"), (1, "b"))], "delta": [service("w").packed()]}
         _, answer, new = acceptor.accept(accept)
         self.assertEqual(("accepted", [service("v")]), (answer["t"], new))
 
@@ -71,7 +71,7 @@
         heard = proposer.heard(0.0, "b", ahead.prepare(out.sends[0][1])[1])
         heard.sends += proposer.heard(0.0, "c", self.holding("c", 1).prepare(out.sends[0][1])[1]).sends
         self.assertEqual(([], None), ([m for _, m in heard.sends if m["t"] == "accept"], proposer.value))
-        behind.learn(ahead.copy.upto, ahead.copy.since((0, "")))
+        behind.learn(ahead.learner.committed_number, ahead.learner.since((0, "")))
         again = proposer.tick(5.0)
         told = [each.prepare(again.sends[0][1])[1] for each in (ahead, behind)]
         sent = [proposer.heard(5.0, me, each).sends for me, each in zip("ba", told)][-1]
--- a/tests/orchard/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -11,7 +11,7 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import (
+from foxspread.mesh.configuration.items import (
     LEASE,
     MEMBERS,
     NO_PAST,
@@ -23,9 +23,9 @@
     place_of,
     services_of,
 )
-from foxspread.orchard.configuration.orders import digest_of_order, judged
-from foxspread.orchard.replication.acceptor import Acceptor, Saved
-from foxspread.orchard.replication.disk import Disk
+from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
+from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.storage import Storage
 from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
@@ -66,7 +66,7 @@
 
 def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
     """All that a voter finds on its disk. This, `as_json` and `meaning` are all here that name the code."""
-    disk = Disk(str(folder), lambda call: None)
+    disk = Storage(str(folder), lambda call: None)
     saved = disk.open(SEEDS, False)
     disk.db.close()
     return as_json(saved, name)
@@ -77,10 +77,10 @@
     acceptor = Acceptor(name, saved)
     found = {
         "identity": saved.disk,
-        "starts": saved.boots,
+        "starts": saved.start_count,
         "seeds": saved.members,
         "promised": saved.promised,
-        "settled": saved.settled,
+        "settled": saved.committed,
         "accepted": saved.accepted,
         "accepted_items": saved.delta,
         "rows": sorted(saved.rows, key=lambda row: row[:2]),
@@ -95,31 +95,31 @@
 
 def meaning(folder: pathlib.Path, name: str) -> dict[str, Any]:
     """What a voter makes of its rows: kinds and keys of content are part of what is stored."""
-    disk = Disk(str(folder), lambda call: None)
+    disk = Storage(str(folder), lambda call: None)
     acceptor = Acceptor(name, disk.open(SEEDS, False))
     disk.db.close()
-    held = acceptor.copy.items
+    held = acceptor.learner.items
     routes = [item for item in held.values() if item.kind == ROUTE and item.content is not None]
     found = {
         "configuration": laid_out(held.values()),
         "places": {item.name: place_of(item.content) for item in routes},
         "services": {item.name: services_of(item.content) for item in routes},
         "dropped": sorted(item.key for item in held.values() if item.content is None),
-        "forgotten_up_to": [acceptor.copy.floor, acceptor.copy.horizon],
+        "forgotten_up_to": [acceptor.learner.floor, acceptor.learner.horizon],
         "lease": held[LEASE, MEMBERS].content,
         "refusals": [item.content for item in held.values() if item.kind == REFUSED],
-        "agreed_clock": acceptor.copy.clock,
+        "agreed_clock": acceptor.learner.clock,
         "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
         "answers": {name: answer(held, order) for name, order in ORDERS.items()},
         "serves": acceptor.serves,
-        "unsettled": acceptor.unsettled,
+        "unsettled": acceptor.uncommitted,
     }
     return json.loads(json.dumps(found))
 
 
 def answer(held: Mapping[tuple[str, str], Item], order: list[Item]) -> Any:
     """What is settled for an order, and what its operator is told."""
-    rows, outcome = judged(held, order, digest_of_order(order), 100.0)
+    rows, outcome = apply_change(held, order, digest_of_change(order), 100.0)
     told = True if outcome is True else [outcome.status, outcome.reason]
     return [[item.packed() for item in rows.values()], told]
 
