--- a/foxspread/mesh/control_api/__init__.py
+++ b/foxspread/mesh/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""What servers and the operator may call: one handler object a resource (the field's term: control API)."""
+"""The HTTP API of a process of the mesh: for the operator, for the server beside it and for the platform."""
--- a/foxspread/mesh/control_api/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -1,75 +1,104 @@
-"""The operator's resource: changes of the configuration, and the whole of it."""
+"""The resource `Config`: changes of the operator's configuration, and the whole of it."""
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable, Iterable, Mapping
+from typing import Any, Literal, Protocol
 
-from foxspread.mesh.control_api.handlers import Elsewhere
 from foxspread.mesh.configuration.document import configuration_document
 from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.control_api.calls import EMPTY, Document, Handler, Redirect, Request, Response, Route
+from foxspread.mesh.errors import Failure, InvalidRequest, OutcomeUnknown
 from foxspread.mesh.log import log_event
-from foxspread.mesh.errors import Failure, OutcomeUnknown
-from foxspread.mesh.replication.replica_server import ReplicaServer
 
-STOOD_STILL = "this process stood still: the call may be an old copy"
+AFTER_SUSPENSION = "this process stood still: the call may be an old copy"
+
+
+class Replica(Protocol):
+    """What the resource needs of a replica (`replication.replica_server`)."""
+
+    acceptor: Any  # its `learner.items` are the items in force
+
+    def submit(self, items: list[Item]) -> Awaitable[Literal[True] | Failure]:
+        """Has a majority agree on a change; without items, only on what is in force now."""
 
 
 class ConfigurationResource:
-    """On a machine with a disk it settles calls; elsewhere it names one that does. `stale`: whether what is
-    read now may have been sent long ago, by a caller that has gone elsewhere since; nothing comes of it."""
+    """Answers on a replica, and on other processes redirects to one.
+
+    `replica_address` gives the control address of a replica, if one is known. `may_be_outdated` tells whether
+    what is read now may have been sent long ago, by a caller that has gone elsewhere since: it is not acted
+    on.
+    """
 
     def __init__(
         self,
-        replica_server: ReplicaServer | None,
-        elsewhere: Callable[[], str | None],
-        stale: Callable[[], bool] = lambda: False,
+        replica: Replica | None,
+        replica_address: Callable[[], str | None],
+        may_be_outdated: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.replica_server, self.elsewhere, self.stale = replica_server, elsewhere, stale
-
-    async def post_patch(self, id: str, body: bytes) -> dict | Failure | Elsewhere:
-        if self.replica_server is None:
-            return self._on("Config.Patch")
-        if self.stale():
-            return OutcomeUnknown(STOOD_STILL)
-        from foxspread.mesh.configuration.validation import (
-            parse_call,
-        )  # and with it cerberus: not for sidecars without a disk
-
-        items: list[Item] = []
-        for step in parse_call(body):  # in slices: a large call must not hold up what else comes
-            if isinstance(step, Failure):
-                log_event("config_refused", why=step.reason)
-                return step
-            if step is None:
-                await asyncio.sleep(0)
-            else:
-                items.append(step)
-        if self.stale():
-            return OutcomeUnknown(STOOD_STILL)
-        outcome = await self.replica_server.submit(items)
-        log_event(
-            "config",
-            items=len(items),
-            outcome="settled" if outcome is True else outcome.reason,
-            first=f"{items[0].name}@r{items[0].version}" if items else "",
-        )
-        return {} if outcome is True else outcome
-
-    async def get_get(self, id: str, body: bytes) -> dict | Failure | Elsewhere:
-        if self.replica_server is None:
-            return self._on("Config.Get")
-        if self.stale():
-            return OutcomeUnknown(STOOD_STILL)
-        outcome = await self.replica_server.submit([])
-        return (
-            configuration_document(self.replica_server.acceptor.learner.items.values())
-            if outcome is True
-            else outcome
-        )
-
-    def _on(self, call: str) -> Failure | Elsewhere:
-        place = self.elsewhere()
-        return (
-            Elsewhere(f"http://{place}/api/{call}")
-            if place
-            else OutcomeUnknown("no machine with a disk is known")
-        )
+        self.replica, self.replica_address, self.may_be_outdated = replica, replica_address, may_be_outdated
+        self._handlers = {("post", "patch"): self.patch, ("get", "get"): self.get}
+
+    def handlers(self) -> Mapping[Route, Handler]:
+        """The calls `Config.Patch` and `Config.Get`."""
+        return self._handlers
+
+    async def patch(self, request: Request) -> Response:
+        """Changes the configuration: all of the call's items or none."""
+        if self.replica is None:
+            return self._redirect("Config.Patch")
+        if self.may_be_outdated():
+            return OutcomeUnknown(AFTER_SUSPENSION)
+        items = await _parse_in_slices(request.body)
+        if isinstance(items, InvalidRequest):
+            log_event("config_refused", why=items.reason)
+            return items
+        if self.may_be_outdated():
+            return OutcomeUnknown(AFTER_SUSPENSION)
+        outcome = await self.replica.submit(items)
+        _log_change(items, outcome)
+        return EMPTY if outcome is True else outcome
+
+    async def get(self, request: Request) -> Response:
+        """All items in force, no older than anything acknowledged before the call."""
+        if self.replica is None:
+            return self._redirect("Config.Get")
+        if self.may_be_outdated():
+            return OutcomeUnknown(AFTER_SUSPENSION)
+        outcome = await self.replica.submit([])
+        if outcome is not True:
+            return outcome
+        return Document(configuration_document(self._items()))
+
+    def _items(self) -> Iterable[Item]:
+        return self.replica.acceptor.learner.items.values()
+
+    def _redirect(self, call: str) -> Response:
+        address = self.replica_address()
+        if not address:
+            return OutcomeUnknown("no machine with a disk is known")
+        return Redirect(f"http://{address}/api/{call}")
+
+
+async def _parse_in_slices(body: bytes) -> list[Item] | InvalidRequest:
+    """The items of a call, other work let in between: a large call must not hold up requests."""
+    from foxspread.mesh.configuration.validation import parse_call  # loads cerberus: not for sidecars
+
+    items: list[Item] = []
+    for step in parse_call(body):
+        if isinstance(step, InvalidRequest):
+            return step
+        if step is None:
+            await asyncio.sleep(0)
+        else:
+            items.append(step)
+    return items
+
+
+def _log_change(items: list[Item], outcome: Literal[True] | Failure) -> None:
+    log_event(
+        "config",
+        items=len(items),
+        outcome="settled" if outcome is True else outcome.reason,
+        first=f"{items[0].name}@r{items[0].version}" if items else "",
+    )
--- a/foxspread/mesh/control_api/handlers.py
+++ b/foxspread/mesh/control_api/handlers.py
@@ -1,80 +1,92 @@
-"""Calls of servers and operators: `/api/RESOURCE.CALL` or `/api/RESOURCE.CALL/ID`. Each resource is an
-object whose methods are its calls; an outcome is an answer or a failure with a reason.
+"""The HTTP side of the control API: finds the call of a request, runs it and writes its response.
+
+A call is `/api/RESOURCE.CALL` or `/api/RESOURCE.CALL/ID`. Each one is answered once, whatever happens to it:
+a caller without an answer would not know whether to go elsewhere.
 """
 
 import asyncio
-from collections.abc import Awaitable, Callable
-from typing import Any
+from collections.abc import Callable
 
 import orjson
 
+from foxspread.mesh.control_api.calls import Handler, Redirect, Request, Resource, Response
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
-from foxspread.mesh.log import log_event
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.log import log_event
 
-# Bytes of a call: 16,000 routes. What JSON of that size may become in memory, 27 times as much at the worst,
-# a process can bear.
-ORDER_MOST = 4 * 1024 * 1024
-JSON = b"Content-Type: application/json\r\n"
-Answer = dict[str, Any] | Failure
-Call = Callable[[str, bytes], Awaitable[Answer]]
-
-
-class Elsewhere:
-    """Whoever asks is sent on."""
+PREFIX = "/api/"
+HEAD_BYTES = 16 * 1024
+# 16,000 routes. A process can bear what JSON of that size becomes in memory: 27 times as much at the worst.
+MAX_CALL_BYTES = 4 * 1024 * 1024
+HEAD_TIMEOUT_S, IDLE_TIMEOUT_S = 5.0, 30.0
+PROBE_HEAD_BYTES, PROBE_BODY_BYTES = 8 * 1024, 1024
+PROBE_PATH = b"/api/ready"
 
-    def __init__(self, location: str) -> None:
-        self.location = location
+JSON = b"Content-Type: application/json\r\n"
+NO_SUCH_CALL = b'{"error":"no such call"}'
+INTERNAL_ERROR = b'{"error":"a fault of ours"}'
 
 
 class ControlApi(Desk):
-    def __init__(self, clock: Callable[[], float], resources: dict[str, object]) -> None:
-        super().__init__(clock, Limits(16 * 1024, ORDER_MOST, 5.0, 30.0))
+    """The calls of all resources, which are given by name."""
+
+    def __init__(self, clock: Callable[[], float], resources: dict[str, Resource]) -> None:
+        super().__init__(clock, Limits(HEAD_BYTES, MAX_CALL_BYTES, HEAD_TIMEOUT_S, IDLE_TIMEOUT_S))
         self.resources = resources
-        self.tasks: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()  # the loop itself holds tasks weakly
 
     def take(self, exchange: Exchange) -> None:
+        """Begins to answer one request."""
         message = exchange.message
         path = message.target.partition(b"?")[0].decode("latin-1")
-        call, id = self._found(message.method.decode("latin-1"), path)
-        if call is None:
-            return exchange.answer(404, b'{"error":"no such call"}', [JSON])
-        task = asyncio.get_running_loop().create_task(self._run(exchange, call, id))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    def _found(self, method: str, path: str) -> tuple[Call | None, str]:
-        if not path.startswith("/api/"):
+        handler, id = self._find(message.method.decode("latin-1"), path)
+        if handler is None:
+            return exchange.answer(404, NO_SUCH_CALL, [JSON])
+        task = asyncio.get_running_loop().create_task(self._run(exchange, handler, id))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _find(self, method: str, path: str) -> tuple[Handler | None, str]:
+        """What answers a request, and the id in its path."""
+        if not path.startswith(PREFIX):
             return None, ""
-        name, _, id = path[5:].partition("/")
-        resource, _, verb = name.partition(".")
-        found = getattr(self.resources.get(resource), f"{method}_{verb}".lower(), None)
-        return found, id
+        name, _, id = path.removeprefix(PREFIX).partition("/")
+        resource_name, _, call = name.partition(".")
+        resource = self.resources.get(resource_name)
+        handlers = resource.handlers() if resource is not None else {}
+        return handlers.get((method.lower(), call.lower())), id
 
-    async def _run(self, exchange: Exchange, call: Call, id: str) -> None:
+    async def _run(self, exchange: Exchange, handler: Handler, id: str) -> None:
         try:
-            answer = await call(id, bytes(exchange.message.body))
+            response = await handler(Request(id, bytes(exchange.message.body)))
         except Exception as error:
             log_event("call_fault", target=exchange.message.target.decode("latin-1"), fault=repr(error))
-            exchange.answer(500, b'{"error":"a fault of ours"}', [JSON])  # the caller goes elsewhere
+            exchange.answer(500, INTERNAL_ERROR, [JSON])  # the caller goes elsewhere
             raise
-        if isinstance(answer, Failure):
-            exchange.answer(answer.status, orjson.dumps({"error": answer.reason}), [JSON])
-        elif isinstance(answer, Elsewhere):
-            exchange.answer(307, b"", [b"Location: %b\r\n" % answer.location.encode()])
+        self._answer(exchange, response)
+
+    @staticmethod
+    def _answer(exchange: Exchange, response: Response) -> None:
+        if isinstance(response, Failure):
+            exchange.answer(response.status, orjson.dumps({"error": response.reason}), [JSON])
+        elif isinstance(response, Redirect):
+            exchange.answer(307, b"", [b"Location: %b\r\n" % response.location.encode()])
         else:
-            exchange.answer(200, orjson.dumps(answer), [JSON])
+            exchange.answer(200, orjson.dumps(response.content), [JSON])
 
 
 class ReadinessApi(Desk):
-    """The platform's question, once a second."""
+    """The readiness probe of the platform, once a second."""
 
-    def __init__(self, clock: Callable[[], float], ready: Callable[[], bool]) -> None:
-        super().__init__(clock, Limits(8 * 1024, 1024, 5.0, 30.0))
-        self.ready = ready
+    def __init__(self, clock: Callable[[], float], is_ready: Callable[[], bool]) -> None:
+        super().__init__(clock, Limits(PROBE_HEAD_BYTES, PROBE_BODY_BYTES, HEAD_TIMEOUT_S, IDLE_TIMEOUT_S))
+        self.is_ready = is_ready
 
     def take(self, exchange: Exchange) -> None:
-        if not exchange.message.target.startswith(b"/api/ready"):
+        """Answers one probe."""
+        if not exchange.message.target.startswith(PROBE_PATH):
             return exchange.answer(404, b"")
-        ready = self.ready()
-        exchange.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
+        if self.is_ready():
+            exchange.answer(200, b"ready\n")
+        else:
+            exchange.answer(503, b"not ready\n")
--- a/foxspread/mesh/control_api/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -1,69 +1,71 @@
-"""The resource of servers: their beats, and their leaving."""
+"""The resource `Instances`: heartbeats of the servers beside this process, and their leaving."""
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 
 import orjson
 
-from foxspread.mesh.registry.incarnations import DRAINING, READY, InstanceTable
+from foxspread.mesh.control_api.calls import EMPTY, Handler, Request, Response, Route
+from foxspread.mesh.errors import Failure, InvalidRequest, OutcomeUnknown
 from foxspread.mesh.log import log_event
-from foxspread.mesh.errors import Failure
-from foxspread.mesh.schema import (
-    COUNT,
-    REQUIRED_TEXT,
-    TEXT,
-    FieldRule,
-    first_fault,
-    is_number,
-    is_address,
-    is_integer,
-)
-
-BEAT = {
-    "service": REQUIRED_TEXT,
-    "address": FieldRule(is_address, "host:port", True),
-    "zone": TEXT,
-    "berths": COUNT,
-    "state": FieldRule(lambda each: each in (READY, DRAINING), f"{READY} or {DRAINING}", True),
-    "cold_s_time": FieldRule(lambda each: is_number(each, float("-inf")), "seconds"),
-    "sequence": FieldRule(lambda each: is_integer(each, -(2**63)), "a whole number", True),
-}
+from foxspread.mesh.registry.heartbeat import DRAINING, parse_heartbeat
+from foxspread.mesh.registry.incarnations import InstanceTable
 
 
 class InstancesResource:
-    """`changed` makes known what changed; `spread` waits until others know it, and says whether they do."""
+    """Records what servers say in a table.
+
+    `publish` sends out what changed; `propagate` waits until others know it, and says whether they do.
+    """
 
     def __init__(
         self,
         clock: Callable[[], float],
         instances: InstanceTable,
-        changed: Callable[[], None],
-        spread: Callable[[], Awaitable[bool]],
+        publish: Callable[[], None],
+        propagate: Callable[[], Awaitable[bool]],
     ) -> None:
-        self.clock, self.instances, self.changed, self.spread = clock, instances, changed, spread
+        self.clock, self.instances = clock, instances
+        self._publish, self._propagate = publish, propagate
+        self._handlers = {("post", "beat"): self.beat, ("post", "leave"): self.leave}
 
-    async def post_beat(self, id: str, body: bytes) -> dict | Failure:
+    def handlers(self) -> Mapping[Route, Handler]:
+        """The calls `Instances.Beat` and `Instances.Leave`."""
+        return self._handlers
+
+    async def beat(self, request: Request) -> Response:
+        """A heartbeat; one that says draining is answered once others know it."""
         try:
-            beat = orjson.loads(body)
+            data = orjson.loads(request.body)
         except orjson.JSONDecodeError as error:
-            return Failure(f"the body can't be read: {error}")
-        if not id:
-            return Failure("wants an id in its path")
-        if (fault := first_fault(beat, BEAT)) is not None:
-            return Failure(fault)
-        news = self.instances.beat(self.clock(), id, beat)
-        if isinstance(news, Failure):
-            return news
-        if news:
+            return InvalidRequest(f"the body can't be read: {error}")
+        if not request.id:
+            return InvalidRequest("wants an id in its path")
+        heartbeat = parse_heartbeat(data)
+        if isinstance(heartbeat, Failure):
+            return heartbeat
+        changed = self.instances.record_heartbeat(self.clock(), request.id, heartbeat)
+        if isinstance(changed, Failure):
+            return changed
+        if changed:
             log_event(
-                "server", id=id, service=beat["service"], state=beat["state"], sequence=beat["sequence"]
+                "server",
+                id=request.id,
+                service=heartbeat.service,
+                state=heartbeat.state,
+                sequence=heartbeat.sequence,
             )
-            self.changed()
-        if beat["state"] == DRAINING and not await self.spread():
-            return Failure("nobody else could be told yet", 503)
-        return {}
+            self._publish()
+        if heartbeat.state == DRAINING and not await self._propagate():
+            return OutcomeUnknown("nobody else could be told yet")
+        return EMPTY
+
+    async def leave(self, request: Request) -> Response:
+        """The server has ended; nothing of that incarnation is taken any more."""
+        if self.instances.leave(self.clock(), request.id):
+            log_event("server", id=request.id, state="left")
+            self._publish()
+        return EMPTY
 
-    async def post_leave(self, id: str, body: bytes) -> dict | Failure:
-        if self.instances.leave(self.clock(), id):
-            log_event("server", id=id, state="left")
-            self.changed()
-        return {}
+    async def post_beat(self, id: str, body: bytes) -> Response:
+        """The former name of `beat`, until the last caller has gone over."""
+        return await self.beat(Request(id, body))
--- a/foxspread/mesh/control_api/readiness.py
+++ b/foxspread/mesh/control_api/readiness.py
@@ -1,67 +1,80 @@
-"""When a process is ready, and how old what it holds may be. Without I/O.
+"""When a process is ready, how old its state may be, and whether it was suspended. No I/O.
 
-A keeper is ready while its contact with a majority is young. A sidecar becomes ready in a life on a basis
-that was current a short time ago, told by a keeper in contact or by a neighbour that has such a basis; then
-it stays ready with what it has, whatever becomes of the keepers. Until then, and while neighbours lean on it,
-it asks again. A basis counts from the asking for it, on this process's own steady clock, so that an answer
-that a cut held up, or that a frozen process reads late, is as old as it is.
+A replica is ready while its contact with a majority is recent. A sidecar becomes ready, in one incarnation,
+on a basis that was current a short time before: a state sent by a replica in contact, or by a neighbour that
+has such a basis. Then it stays ready with what it has, whatever becomes of the replicas. Until then, and
+while neighbours depend on it, it requests a basis again. The age of a basis counts from the request for it,
+on this process's own steady clock, so that an answer that a partition delayed, or that a suspended process
+reads late, counts as old as it is.
 """
 
 import math
 
-BASIS_S = 3.0  # a basis older than that makes nobody ready
-ASK_S = 0.5  # between askings for a younger basis
-LEANT_ON_S = 1.0  # older than that, what a neighbour leans on is asked for again
-STILL_S = 1.0  # without a turn of the loop, after which what is read may be an old copy: its caller has left
-STILL_AFTER_S = 1.0  # in which what came while it stood still is read
+MAX_BASIS_AGE_S = 3.0  # a basis that is older makes nobody ready
+BASIS_REQUEST_INTERVAL_S = 0.5
+MAX_AGE_FOR_NEIGHBOURS_S = 1.0  # older than that, a basis that neighbours depend on is requested anew
+SUSPENDED_AFTER_S = 1.0  # without a turn of the loop; callers of what is read then have gone elsewhere
+OUTDATED_INPUT_S = 1.0  # after a suspension, in which what came meanwhile is read
+REPORTED_AFTER_TICKS = 4  # a shorter delay is the usual jitter of the loop
+
+# Former names, until the last caller has gone over.
+BASIS_S, ASK_S, LEANT_ON_S = MAX_BASIS_AGE_S, BASIS_REQUEST_INTERVAL_S, MAX_AGE_FOR_NEIGHBOURS_S
 
 
 class Readiness:
+    """The basis of one incarnation of a sidecar; times are seconds of its steady clock."""
+
     def __init__(self) -> None:
-        self.as_of: float | None = None  # all that was acknowledged before is held here
-        self.based = False  # in this life, on a basis that was young when it came
-        self.next_at = -math.inf
+        self.current_at: float | None = None  # all that was acknowledged before is here
+        self.has_basis = False  # in this incarnation, one that was recent when it came
+        self.next_request_at = -math.inf
 
-    def told(self, now: float, asked_at: float, age: float | None) -> None:
-        """All that the teller holds has been taken in; `age`: what it told of itself, seconds."""
-        if age is None or asked_at > now:
+    def told(self, now: float, requested_at: float, age_s: float | None) -> None:
+        """All of a sender's state is here; `age_s`: how old it said that it may be, None: not known."""
+        if age_s is None or requested_at > now:
             return
-        as_of = asked_at - max(0.0, age)
-        self.as_of = as_of if self.as_of is None else max(self.as_of, as_of)
-        if now - self.as_of <= BASIS_S:
-            self.based = True
+        current_at = requested_at - max(0.0, age_s)
+        self.current_at = current_at if self.current_at is None else max(self.current_at, current_at)
+        if now - self.current_at <= MAX_BASIS_AGE_S:
+            self.has_basis = True
 
     def age(self, now: float) -> float | None:
-        """Seconds for which it may have missed something that was acknowledged; None: not known."""
-        return None if self.as_of is None else now - self.as_of
-
-    def asks(self, now: float, leant_on: bool) -> bool:
-        """Whether to ask for a young basis now."""
-        age = self.age(now)
-        wanted = not self.based or leant_on and (age is None or age > LEANT_ON_S)
-        if not wanted or now < self.next_at:
+        """Seconds for which it may have missed what was acknowledged; None: not known."""
+        return None if self.current_at is None else now - self.current_at
+
+    def asks(self, now: float, has_dependents: bool) -> bool:
+        """Whether to request a recent basis now; it counts as requested then."""
+        age_s = self.age(now)
+        too_old_for_dependents = has_dependents and (age_s is None or age_s > MAX_AGE_FOR_NEIGHBOURS_S)
+        if self.has_basis and not too_old_for_dependents or now < self.next_request_at:
             return False
-        self.next_at = now + ASK_S
+        self.next_request_at = now + BASIS_REQUEST_INTERVAL_S
         return True
 
-    def ready(self, holds: bool) -> bool:
-        """Of a sidecar; `holds`: there are items, and it has been told of servers."""
-        return holds and self.based
+    def ready(self, has_state: bool) -> bool:
+        """Whether a sidecar is ready; `has_state`: it has items, and records of servers."""
+        return has_state and self.has_basis
 
 
-class PauseDetector:
-    """Notices that this process stood still: frozen, or held up."""
+class SuspendDetector:
+    """Notices that this process was suspended or starved; `tick_s`: the interval at which it is called."""
 
-    def __init__(self, now: float, tick: float) -> None:
-        self.tick, self.at, self.until = tick, now, -math.inf
+    def __init__(self, now: float, tick_s: float) -> None:
+        self.tick_s, self.last_tick_at, self.outdated_until = tick_s, now, -math.inf
 
-    def beat(self, now: float) -> float:
-        """At each tick; seconds for which it stood still, 0 as a rule."""
-        stood, self.at = now - self.at, now
-        if stood > STILL_S:
-            self.until = now + STILL_AFTER_S
-        return max(0.0, stood - 4 * self.tick)
+    def tick(self, now: float) -> float:
+        """To be called at each tick; seconds for which the process was suspended, 0 as a rule."""
+        gap_s, self.last_tick_at = now - self.last_tick_at, now
+        if gap_s > SUSPENDED_AFTER_S:
+            self.outdated_until = now + OUTDATED_INPUT_S
+        return max(0.0, gap_s - REPORTED_AFTER_TICKS * self.tick_s)
 
-    def stale(self, now: float) -> bool:
+    def input_may_be_outdated(self, now: float) -> bool:
         """Whether what is read now may have been sent long ago; to be asked where it is read."""
-        return now - self.at > STILL_S or now < self.until
+        return now - self.last_tick_at > SUSPENDED_AFTER_S or now < self.outdated_until
+
+    # Former names, until the last caller has gone over.
+    beat, stale = tick, input_may_be_outdated
+
+
+PauseDetector = SuspendDetector
--- a/foxspread/mesh/dataplane/lasthop.py
+++ b/foxspread/mesh/dataplane/lasthop.py
@@ -55,10 +55,10 @@
 
     def closed(self, now: float, id: str) -> Failure | None:
         """Why nothing more may reach that life. Asked again before the first byte: connecting takes time."""
-        server = self.instances.servers.get(id)
+        server = self.instances.by_id.get(id)
         if server is None or server.state == GONE:
             return Failure("gone")
-        if server.state == DRAINING and now - self.instances.draining_at[id] > DRAIN_PART * self.drain_s:
+        if server.state == DRAINING and now - self.instances.draining_since[id] > DRAIN_PART * self.drain_s:
             return Failure("draining")
         return None
 
@@ -66,15 +66,15 @@
         """Where to hand it over; counted as held from then on, until `released`."""
         if (closed := self.closed(now, id)) is not None:
             return closed
-        server, holding = self.instances.servers[id], self.of(id)
+        server, holding = self.instances.by_id[id], self.of(id)
         mean = holding.took.read(now)
-        wait = max(0, holding.busy + 1 - server.berths) * mean / server.berths
+        wait = max(0, holding.busy + 1 - server.capacity) * mean / server.capacity
         high = terms.rank <= HIGH
         most = WAIT_HIGH * left if high else WAIT_REST * terms.aim
         if high and wait > most / 3:
             holding.pressed_at = now
         pressed = not high and now - holding.pressed_at < PRESSED_S
-        if wait > most or holding.busy >= (PRESSED_PART if pressed else QUEUE_MOST) * server.berths:
+        if wait > most or holding.busy >= (PRESSED_PART if pressed else QUEUE_MOST) * server.capacity:
             return Failure("full")
         if left <= 0.0 or wait + 0.3 * mean > left:
             return Failure("late")
@@ -90,8 +90,6 @@
 
     def sweep(self) -> None:
         for id in [
-            each
-            for each, held in self.holding.items()
-            if not held.busy and each not in self.instances.servers
+            each for each, held in self.holding.items() if not held.busy and each not in self.instances.by_id
         ]:
             del self.holding[id]
--- a/foxspread/mesh/health/upstreams.py
+++ b/foxspread/mesh/health/upstreams.py
@@ -67,7 +67,7 @@
 
     def fold(self, now: float, node: str) -> None:
         """The record of that sidecar has changed."""
-        record = self.records.of.get(node)
+        record = self.records.by_node.get(node)
         here: set[tuple[str, str]] = set()
         for row in record.servers if record is not None and record.inbound is not None else ():
             here.add((row.service, row.id))
@@ -81,15 +81,15 @@
                     row.service,
                     record.zone,
                     record.inbound,
-                    max(1, row.berths),
+                    max(1, row.capacity),
                     False,
-                    now + row.warm_in,
+                    now + row.slow_start_s,
                 )
             old.node, old.place, old.berths, old.warm_at = (
                 node,
                 record.inbound,
-                max(1, row.berths),
-                now + row.warm_in,
+                max(1, row.capacity),
+                now + row.slow_start_s,
             )
             self._ready(service, old, ready)
         for name, id in self.of_node.get(node, set()) - here:
--- a/foxspread/mesh/registry/__init__.py
+++ b/foxspread/mesh/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Servers: their beats, drains and lives (the field's term: service registry). Pure."""
+"""The service registry: instances of servers, their heartbeats and drains, and what sidecars say of them."""
--- a/foxspread/mesh/registry/drain_propagation.py
+++ b/foxspread/mesh/registry/drain_propagation.py
@@ -1,29 +1,32 @@
-"""When a drain is acknowledged. Without I/O.
+"""When the drain of a server is acknowledged to it.
 
-All requests for a server pass the last hop beside it, whose guard stands at the act
+All requests for a server pass the sidecar beside it, whose guard decides as a request arrives
 (`dataplane/lasthop.py`): some time after the drain was first heard it lets nothing more through, whatever any
-control machine or any caller knows. So where that last hop is this process's own, a drain is acknowledged
-when others know, or when they have been given their time. Keepers need not be reached: one that is cut off
-can neither hold an acknowledgement up nor make it false. Where no request passes here, others have to know.
+replica or caller knows. So where that sidecar is this process, a drain is acknowledged when others know it,
+or when they have been given their time. Replicas need not be reached: one that is partitioned can neither
+delay an acknowledgement nor make it false. Where no requests pass this process, others have to know. No I/O.
 """
 
 from collections.abc import Collection
 
-SPREAD_S = 0.7  # for others to learn of a drain, before the server is told that it is acknowledged
+PROPAGATION_TIMEOUT_S = 0.7  # for others to learn of a drain; the server's call ends within a second
 
 
 class DrainPropagation:
-    """One wait. `guards`: whether the requests for the server pass this process."""
+    """One drain that waits for others to learn of it, from `now` (seconds) on."""
 
-    def __init__(self, now: float, guards: bool) -> None:
-        self.until, self.guards = now + SPREAD_S, guards
+    def __init__(self, now: float, guards_requests: bool) -> None:
+        self.until, self.guards_requests = now + PROPAGATION_TIMEOUT_S, guards_requests
 
-    def outcome(self, now: float, know: int, linked: Collection[str], replicas: int) -> bool | None:
-        """True: to be acknowledged; False: not now; None: to be asked again. `know`: linked keepers that have
-        told that they know it; `linked`: keepers in contact with a majority that a link stands to; `keepers`:
-        how many there are."""
-        if know and know >= min(len(linked), max(1, replicas // 2 + 1)):
+    def outcome(self, now: float, informed: int, connected: Collection[str], replicas: int) -> bool | None:
+        """True: acknowledge it; False: it can't be acknowledged now; None: wait.
+
+        `informed`: how many connected replicas have confirmed that they know the drain; `connected`: the
+        replicas in contact with a majority that there is a connection to; `replicas`: how many there are.
+        """
+        majority = max(1, replicas // 2 + 1)
+        if informed and informed >= min(len(connected), majority):
             return True
         if now < self.until:
             return None
-        return self.guards or know > 0
+        return self.guards_requests or informed > 0
--- a/foxspread/mesh/registry/incarnations.py
+++ b/foxspread/mesh/registry/incarnations.py
@@ -1,115 +1,147 @@
-"""The servers that beat here. Each start of a server is a life with an id of its own; what a life says is
-numbered, so that a late call is known; a life that has ended never comes back. One that says nothing for a
-while is gone, until it speaks again.
+"""The instances of servers beside this process, by their heartbeats.
+
+Each start of a server is an incarnation with an id of its own. Its heartbeats are numbered, so that a late
+one is recognised; one that has ended never comes back. One that is silent for some heartbeats is gone, until
+it speaks again (a failure detector by time-out). No I/O.
 """
 
 import math
 from dataclasses import dataclass, replace
-from typing import Any
 
-from foxspread.mesh.errors import Failure, InstanceEnded
+from foxspread.mesh.errors import InstanceEnded
+from foxspread.mesh.registry.heartbeat import DRAINING, GONE, READY, Heartbeat, InstanceState
+
+__all__ = ["DRAINING", "GONE", "READY", "Instance", "InstanceTable", "unpack_instance"]
 
-READY, DRAINING, GONE = "ready", "draining", "gone"
-MISSED = 2.6  # beats, after which one that says nothing counts as gone
-ENDED_KEPT_S = 120.0  # for which the id of an ended life is known
+MISSED_HEARTBEATS = 2.6  # intervals of silence, after which an instance counts as gone
+FORGOTTEN_AFTER_HEARTBEATS = 20  # intervals of silence, after which nothing of it is kept
+ENDED_ID_RETENTION_S = 120.0  # for which the id of an ended incarnation is refused
+
+_STATES = {state.value: state for state in InstanceState}
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
+    """One incarnation of a server, as sidecars tell each other of it."""
+
     id: str
     service: str
-    address: str
+    address: str  # host:port
     zone: str
-    berths: int
-    state: str
+    capacity: int  # requests at once
+    state: InstanceState | str  # a text where a process of a later version sent a state unknown here
     sequence: int
-    warm_in: float = 0.0  # seconds from when the row was made until it is as quick as ever
-    edition: str = ""
+    slow_start_s: float = 0.0  # from when the row was made until it is as fast as ever
+    software_version: str = ""
+
+    @property
+    def berths(self) -> int:
+        """The former name of `capacity`."""
+        return self.capacity
 
     def packed(self) -> list:
+        """The row that is sent."""
         return [
             self.id,
             self.service,
             self.address,
             self.zone,
-            self.berths,
-            self.state,
+            self.capacity,
+            str(self.state),
             self.sequence,
-            round(self.warm_in, 2),
-            self.edition,
+            round(self.slow_start_s, 2),
+            self.software_version,
         ]
 
 
 def unpack_instance(row: list) -> Instance:
-    return Instance(*row)
+    """The instance of a row that `packed` made."""
+    return Instance(*row[:5], _STATES.get(row[5], row[5]), *row[6:])
 
 
 class InstanceTable:
-    def __init__(self, heartbeat: float, zone: str = "") -> None:
-        self.heartbeat, self.zone = heartbeat, zone
-        self.servers: dict[str, Instance] = {}
-        self.heard: dict[str, float] = {}
-        self.warm_at: dict[str, float] = {}
-        self.draining_at: dict[str, float] = {}  # when that was first heard
-        self.ended: dict[str, float] = {}
-
-    def beat(self, now: float, id: str, told: dict[str, Any]) -> bool | Failure:
+    """The instances that send their heartbeats here; times are seconds of the caller's clock."""
+
+    def __init__(self, heartbeat_s: float, zone: str = "") -> None:
+        self.heartbeat_s, self.zone = heartbeat_s, zone
+        self.by_id: dict[str, Instance] = {}
+        self.heard_at: dict[str, float] = {}  # by id: when the last heartbeat came
+        self.slow_start_until: dict[str, float] = {}
+        self.draining_since: dict[str, float] = {}  # when that was first heard
+        self.ended_at: dict[str, float] = {}
+
+    def record_heartbeat(self, now: float, id: str, heartbeat: Heartbeat) -> bool | InstanceEnded:
         """True where something changed that others have to know."""
-        if id in self.ended:
+        if id in self.ended_at:
             return InstanceEnded(f"{id} has left")
-        old = self.servers.get(id)
-        if old is not None and told["sequence"] <= old.sequence:
+        old = self.by_id.get(id)
+        if old is not None and heartbeat.sequence <= old.sequence:
             return False  # late: what it said after that is known
-        state = told["state"]
-        if state == DRAINING:  # heard of for the first time, it may have said so to an earlier process here
-            self.draining_at.setdefault(id, now if old is not None else -math.inf)
-        elif id in self.draining_at:
-            state = DRAINING  # there is no way back in one life
-        new = Instance(
-            id,
-            told["service"],
-            told["address"],
-            told.get("zone") or self.zone,
-            int(told.get("berths") or 1),
-            state,
-            told["sequence"],
-            float(told.get("cold_s_time") or 0.0),
-            str(told.get("edition", "")),
+        new = self._instance_of(id, heartbeat, self._state_of(now, id, heartbeat.state, old is None))
+        self.by_id[id], self.heard_at[id] = new, now
+        self.slow_start_until[id] = now + new.slow_start_s
+        return old is None or _published(old) != _published(new)
+
+    def _state_of(self, now: float, id: str, said: InstanceState, is_new: bool) -> InstanceState:
+        """Draining is final for one incarnation, whatever it says later."""
+        if said == DRAINING:
+            # One that drains when first heard of may have said so to an earlier process here.
+            self.draining_since.setdefault(id, -math.inf if is_new else now)
+            return DRAINING
+        return DRAINING if id in self.draining_since else said
+
+    def _instance_of(self, id: str, heartbeat: Heartbeat, state: InstanceState) -> Instance:
+        return Instance(
+            id=id,
+            service=heartbeat.service,
+            address=heartbeat.address,
+            zone=heartbeat.zone or self.zone,
+            capacity=heartbeat.capacity,
+            state=state,
+            sequence=heartbeat.sequence,
+            slow_start_s=heartbeat.slow_start_s,
+            software_version=heartbeat.software_version,
         )
-        self.servers[id], self.heard[id] = new, now
-        self.warm_at[id] = now + new.warm_in
-        return old is None or replace(old, sequence=0, warm_in=0.0) != replace(new, sequence=0, warm_in=0.0)
 
     def leave(self, now: float, id: str) -> bool:
-        """Also of one that is not known: its beat may come after."""
-        self.ended[id] = now
-        self.heard.pop(id, None)
-        self.warm_at.pop(id, None)
-        self.draining_at.pop(id, None)
-        return self.servers.pop(id, None) is not None
+        """That incarnation has ended; True where it was known. Also of others: a heartbeat may come after."""
+        self.ended_at[id] = now
+        self.heard_at.pop(id, None)
+        self.slow_start_until.pop(id, None)
+        self.draining_since.pop(id, None)
+        return self.by_id.pop(id, None) is not None
 
     def sweep(self, now: float) -> bool:
-        """Those that have said nothing for too long are gone: True where any is."""
-        silent = [
+        """Marks silent instances as gone, and forgets what is too old; True where any is newly gone."""
+        newly_gone = [
             id
-            for id, at in self.heard.items()
-            if now - at > MISSED * self.heartbeat and self.servers[id].state != GONE
+            for id, at in self.heard_at.items()
+            if now - at > MISSED_HEARTBEATS * self.heartbeat_s and self.by_id[id].state != GONE
         ]
-        for id in silent:
-            self.servers[id] = replace(self.servers[id], state=GONE)
-        for id in [id for id, at in self.heard.items() if now - at > 20 * self.heartbeat]:
-            del self.servers[id], self.heard[id], self.warm_at[id]
-            self.draining_at.pop(id, None)
-        for id in [id for id, at in self.ended.items() if now - at > ENDED_KEPT_S]:
-            del self.ended[id]
-        return bool(silent)
-
-    def slept(self, seconds: float) -> None:
-        """This process stood still: nobody could be heard."""
-        self.heard = {id: at + seconds for id, at in self.heard.items()}
+        for id in newly_gone:
+            self.by_id[id] = replace(self.by_id[id], state=GONE)
+        forgotten_after_s = FORGOTTEN_AFTER_HEARTBEATS * self.heartbeat_s
+        for id in [id for id, at in self.heard_at.items() if now - at > forgotten_after_s]:
+            del self.by_id[id], self.heard_at[id], self.slow_start_until[id]
+            self.draining_since.pop(id, None)
+        for id in [id for id, at in self.ended_at.items() if now - at > ENDED_ID_RETENTION_S]:
+            del self.ended_at[id]
+        return bool(newly_gone)
+
+    def excuse_silence(self, seconds: float) -> None:
+        """This process was suspended for so long: nobody could be heard, so nobody was silent."""
+        self.heard_at = {id: at + seconds for id, at in self.heard_at.items()}
 
     def rows(self, now: float) -> list[list]:
+        """The rows of all instances, as they are sent at that time."""
         return [
-            replace(each, warm_in=max(0.0, self.warm_at[each.id] - now)).packed()
-            for each in self.servers.values()
+            replace(each, slow_start_s=max(0.0, self.slow_start_until[each.id] - now)).packed()
+            for each in self.by_id.values()
         ]
+
+    slept = excuse_silence  # the former name, until the last caller has gone over
+
+
+def _published(instance: Instance) -> Instance:
+    """Without what changes with each heartbeat: others need not know that."""
+    return replace(instance, sequence=0, slow_start_s=0.0)
--- a/tests/mesh/control_api/test_handlers.py
+++ b/tests/mesh/control_api/test_handlers.py
@@ -7,9 +7,10 @@
 
 from foxspread.mesh.dataplane.serving import Serving
 from foxspread.mesh.control_api.configuration import ConfigurationResource
-from foxspread.mesh.control_api.handlers import ORDER_MOST, ControlApi, ReadinessApi
+from foxspread.mesh.control_api.handlers import MAX_CALL_BYTES, ControlApi, ReadinessApi
 from foxspread.mesh.control_api.instances import InstancesResource
-from foxspread.mesh.registry.incarnations import DRAINING, InstanceTable
+from foxspread.mesh.registry.heartbeat import DRAINING
+from foxspread.mesh.registry.incarnations import InstanceTable
 from foxspread.mesh.errors import Conflict, OutcomeUnknown
 from tests.mesh.helpers import OnLoop, Transport, header, rule, statuses
 
@@ -19,8 +20,8 @@
                   "gates": [{"destination": "h", "regulations": [rule()]}]}}  # fmt: skip
 
 
-class Keeper:
-    """Settles as it is told."""
+class FakeReplica:
+    """Answers each change with the given outcome."""
 
     def __init__(self, loop, outcome):
         self.loop, self.outcome, self.got = loop, outcome, []
@@ -35,7 +36,7 @@
         return future
 
 
-class Calls(OnLoop):
+class ControlApiTest(OnLoop):
     def setUp(self):
         super().setUp()
         self.instances, self.changes, self.known = InstanceTable(1.0), [], True
@@ -60,7 +61,7 @@
         self.written = transport.written
         return statuses(transport.written)
 
-    def test_beats(self):
+    def test_heartbeats_and_drains(self):
         # Guards: a 2xx only for what was understood; a drain only once others know it; each within a second.
         for change, wanted in (
             ({}, [200]),
@@ -78,7 +79,7 @@
         self.assertEqual([400], self.call(b"/api/Instances.Beat/", BEAT))
         drain = BEAT | {"state": DRAINING, "sequence": 7}
         self.assertEqual([], self.call(b"/api/Instances.Beat/i-1", drain, after=0.2))
-        self.assertEqual(DRAINING, self.instances.servers["i-1"].state)
+        self.assertEqual(DRAINING, self.instances.by_id["i-1"].state)
         self.known = False
         self.assertEqual([503], self.call(b"/api/Instances.Beat/i-1", drain | {"sequence": 8}))
         self.assertEqual([200], self.call(b"/api/Instances.Leave/i-1"))
@@ -86,7 +87,7 @@
         self.assertEqual([200], self.call(b"/api/Instances.Leave/i-1"))
         self.assertEqual(3, len(self.changes))
 
-    def test_calls_that_do_not_exist(self):
+    def test_unknown_calls_are_not_found(self):
         for target, method in (
             (b"/api/Instances.Beat/i-1", b"GET"),
             (b"/api/Instances.__init__", b"POST"),
@@ -97,11 +98,11 @@
         ):
             self.assertEqual([404], self.call(target, BEAT, method), target)
 
-    def test_configuration(self):
+    def test_a_change_is_answered_with_its_outcome(self):
         # Guards: nothing invalid reaches the disk; the outcome goes back as it is; one without a disk reads
         # nothing and names another, with the whole path.
         for outcome, wanted in ((True, 200), (Conflict("no"), 409), (OutcomeUnknown("later"), 503)):
-            replica_server = Keeper(self.loop, outcome)
+            replica_server = FakeReplica(self.loop, outcome)
             self.desk.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", CALL))
             self.assertEqual(["s1", "r1"], [item.name for item in replica_server.got[0]])
@@ -115,12 +116,12 @@
             self.assertEqual([wanted], self.call(b"/api/Config.Get", method=b"GET"))
             self.assertEqual([wanted], self.call(b"/api/Config.Patch", b"{"))
 
-    def test_orders_that_are_too_much(self):
+    def test_changes_that_are_too_large_or_malformed_are_refused(self):
         # Guards: each gets a clear refusal, nothing of it is submitted, and none is read whole that is too
         # large: by its length, and by what comes of one without a length.
-        replica_server = Keeper(self.loop, True)
+        replica_server = FakeReplica(self.loop, True)
         self.desk.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
-        for size in (ORDER_MOST + 1, 64 * 1024 * 1024):
+        for size in (MAX_CALL_BYTES + 1, 64 * 1024 * 1024):
             head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % size
             self.assertEqual([413], self.sent(head + b" " * 1000))
         chunk = b"%x\r\n%b\r\n" % (1 << 20, b" " * (1 << 20))
@@ -152,10 +153,10 @@
         self.loop.advance(0.1)
         return statuses(transport.written)
 
-    def test_a_process_that_stood_still_takes_no_order_for_new(self):
+    def test_a_suspended_process_does_not_act_on_outdated_calls(self):
         # Guards: an order read on waking may be a copy that its operator has long sent elsewhere; also one
         # that was being read in slices meanwhile. Each is asked at the act, twice.
-        replica_server = Keeper(self.loop, True)
+        replica_server = FakeReplica(self.loop, True)
         for answers, wanted, got in (
             ([True], 503, 0),
             ([False, True], 503, 0),
@@ -171,16 +172,16 @@
         self.assertEqual([503], self.call(b"/api/Config.Get", method=b"GET"))
         self.assertEqual(1, len(replica_server.got))
 
-    def test_a_call_that_fails(self):
+    def test_a_failing_call_is_answered(self):
         # Guards: an error of ours must not leave the caller without an answer; it is told to go elsewhere.
         self.desk.resources["Config"] = ConfigurationResource(
-            Keeper(self.loop, ValueError("ours")), lambda: None
+            FakeReplica(self.loop, ValueError("ours")), lambda: None
         )
         self.assertEqual([500], self.call(b"/api/Config.Patch", CALL))
         self.assertEqual(["ours"], [str(fault) for fault in self.loop.faults])
         self.loop.faults.clear()
 
-    def test_ready(self):
+    def test_the_readiness_probe(self):
         told = []
         self.desk = ReadinessApi(self.loop.time, lambda: bool(told))
         self.assertEqual([503], self.call(b"/api/ready", method=b"GET"))
--- a/tests/mesh/dataplane/test_caller.py
+++ b/tests/mesh/dataplane/test_caller.py
@@ -8,6 +8,7 @@
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART
 from foxspread.mesh.dataplane.memory import Share
 from foxspread.mesh.configuration.items import ROUTE, Item
+from foxspread.mesh.registry.heartbeat import DRAINING, Heartbeat
 from foxspread.mesh.settings import BOUNDS
 from tests.mesh.helpers import (
     Late,
@@ -190,8 +191,8 @@
         # part of `drain_s`, then its word sends the request elsewhere, unsafe ones too; retries included.
         for after, wanted in ((0.1, "i-b"), (DRAIN_PART * BOUNDS["drain_s"] + 0.1, "i-c")):
             site = Site(self.loop, others=("b",), mail_class="unsafe")
-            told = {"service": "s1", "address": "b:80", "berths": 4, "state": "draining", "sequence": 2}
-            site.instances["b"].beat(self.loop.now, "i-b", told)
+            drain = Heartbeat("s1", "b:80", DRAINING, 2, capacity=4)
+            site.instances["b"].record_heartbeat(self.loop.now, "i-b", drain)
             self.loop.advance(after)
             transport = site.ask(PAY) if after < 1 else None
             if transport is None:
@@ -205,8 +206,8 @@
         for beside in (False, True):
             site = Site(self.loop, others=("b",), beside=beside, mail_class="unsafe")
             name = "me" if beside else "b"
-            told = {"service": "s1", "address": "b:80", "berths": 4, "state": "draining", "sequence": 2}
-            site.instances[name].beat(self.loop.now, f"i-{name}", told)
+            drain = Heartbeat("s1", "b:80", DRAINING, 2, capacity=4)
+            site.instances[name].record_heartbeat(self.loop.now, f"i-{name}", drain)
             self.loop.advance(DRAIN_PART * BOUNDS["drain_s"] - 0.1)
             self.loop.places[name, 80] = Late(0.2, site.a_server)
             transport = site.ask(PAY)
@@ -362,8 +363,8 @@
         # Guards: the last hop counts the drain from when it was heard, asleep or not; an unsafe request that
         # lay there goes to no server of it, and comes back as one that has not run.
         site = Site(self.loop, others=("b",), mail_class="unsafe")
-        told = {"service": "s1", "address": "b:80", "berths": 4, "state": "draining", "sequence": 2}
-        site.instances["b"].beat(self.loop.now, "i-b", told)
+        drain = Heartbeat("s1", "b:80", DRAINING, 2, capacity=4)
+        site.instances["b"].record_heartbeat(self.loop.now, "i-b", drain)
         site.instances["b"].slept(5.0)
         self.loop.now += 5.0
         transport = site.ask(PAY)
--- a/tests/mesh/dataplane/test_lasthop.py
+++ b/tests/mesh/dataplane/test_lasthop.py
@@ -3,7 +3,8 @@
 import testtools
 
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART, PRESSED_S, QUEUE_MOST, LastHop, Terms
-from foxspread.mesh.registry.incarnations import DRAINING, READY, InstanceTable
+from foxspread.mesh.registry.heartbeat import DRAINING, READY, Heartbeat
+from foxspread.mesh.registry.incarnations import InstanceTable
 
 DRAIN_S = 2.0
 
@@ -16,8 +17,8 @@
         self.tell(0.0, READY, 1)
 
     def tell(self, now, state, sequence):
-        told = {"service": "s1", "address": "a:80", "berths": 4, "state": state, "sequence": sequence}
-        self.instances.beat(now, "i", told)
+        heartbeat = Heartbeat("s1", "a:80", state, sequence, capacity=4)
+        self.instances.record_heartbeat(now, "i", heartbeat)
 
     def why(self, now, id="i", left=1.0, aim=0.5):
         """Why not; None where it is let through, and ends at once."""
--- a/tests/mesh/helpers.py
+++ b/tests/mesh/helpers.py
@@ -15,8 +15,9 @@
 from foxspread.mesh.dataplane.serving import Serving
 from foxspread.mesh.configuration.items import ROUTE, Item
 from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.registry.heartbeat import Heartbeat, InstanceState
 from foxspread.mesh.registry.incarnations import InstanceTable
-from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_instance
+from foxspread.mesh.registry.endpoint_records import UP, EndpointRecord, EndpointRecords, unpack_instance
 from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.settings import BOUNDS
 from foxspread.sums import Chance
@@ -379,13 +380,13 @@
 
     def beat(self, name, sequence=1, state="ready", id=None, berths=4):
         id = id or f"i-{name}"
-        told = {"service": "s1", "address": f"{name}:80", "berths": berths}
-        self.instances[name].beat(self.loop.now, id, told | {"state": state, "sequence": sequence})
+        heartbeat = Heartbeat("s1", f"{name}:80", InstanceState(state), sequence, capacity=berths)
+        self.instances[name].record_heartbeat(self.loop.now, id, heartbeat)
         self.publish(name, sequence)
 
     def publish(self, name, number):
         rows = tuple(unpack_instance(row) for row in self.instances[name].rows(self.loop.now))
-        self.records.take(self.loop.now, EndpointRecord(name, (1, number), "z", "up", (name, 70), rows))
+        self.records.update(self.loop.now, EndpointRecord(name, (1, number), "z", UP, (name, 70), rows))
         self.upstreams.fold(self.loop.now, name)
 
     def a_server(self):
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -1,31 +1,34 @@
-"""When a drain is acknowledged, and that what was acknowledged holds without any control machine."""
+"""When a drain is acknowledged, and that an acknowledged drain holds without any replica."""
 
 import testtools
 
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART, LastHop, Terms
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.registry.incarnations import DRAINING, READY, InstanceTable
-from foxspread.mesh.registry.drain_propagation import SPREAD_S, DrainPropagation
+from foxspread.mesh.registry.heartbeat import DRAINING, READY, Heartbeat
+from foxspread.mesh.registry.incarnations import InstanceTable
+from foxspread.mesh.registry.drain_propagation import PROPAGATION_TIMEOUT_S, DrainPropagation
 
 DRAIN_S = 2.0
 
 
-class Waits(testtools.TestCase):
-    def test_it_waits_for_others_but_not_for_long(self):
-        # Guards: an acknowledgement that hangs on keepers, one that comes before anybody was told.
+class DrainPropagationTest(testtools.TestCase):
+    def test_it_waits_for_others_until_the_timeout(self):
+        # No acknowledgement depends on replicas for long, none comes before anybody was informed.
         for guards in (True, False):
             wait = DrainPropagation(10.0, guards)
             self.assertIsNone(wait.outcome(10.0, 0, [], 3))
             self.assertIsNone(wait.outcome(10.1, 1, ["k1", "k2", "k3"], 3))
             self.assertTrue(wait.outcome(10.1, 2, ["k1", "k2", "k3"], 3))
             self.assertTrue(wait.outcome(10.1, 1, ["k1"], 3))
-            self.assertTrue(wait.outcome(10.0 + SPREAD_S, 1, ["k1", "k2", "k3"], 3))
-            self.assertEqual(guards, wait.outcome(10.0 + SPREAD_S, 0, ["k1", "k2"], 3))
-            self.assertEqual(guards, wait.outcome(10.0 + SPREAD_S, 0, [], 3))  # only a cut-off one is linked
+            self.assertTrue(wait.outcome(10.0 + PROPAGATION_TIMEOUT_S, 1, ["k1", "k2", "k3"], 3))
+            self.assertEqual(guards, wait.outcome(10.0 + PROPAGATION_TIMEOUT_S, 0, ["k1", "k2"], 3))
+            self.assertEqual(
+                guards, wait.outcome(10.0 + PROPAGATION_TIMEOUT_S, 0, [], 3)
+            )  # only a cut-off one is linked
 
 
-class Guard(testtools.TestCase):
-    """The last hop beside the server, with no link to anybody."""
+class GuardedDrainTest(testtools.TestCase):
+    """The sidecar beside the server, with no connection to anybody."""
 
     def setUp(self):
         super().setUp()
@@ -36,13 +39,13 @@
         self.hop = LastHop(self.instances, ("127.0.0.1", 8147), DRAIN_S)
 
     def beat(self, now, state, sequence):
-        told = {"service": "s", "address": "10.0.0.9:8080", "state": state, "sequence": sequence, "berths": 9}
-        return self.instances.beat(now, "i", told)
+        heartbeat = Heartbeat("s", "10.0.0.9:8080", state, sequence, capacity=9)
+        return self.instances.record_heartbeat(now, "i", heartbeat)
 
     def passes(self, now):
         return not isinstance(self.hop.admit(now, "i", 1.0, Terms()), Failure)
 
-    def test_across_a_cut_of_twenty_seconds(self):
+    def test_a_drain_holds_during_a_partition_of_twenty_seconds(self):
         self.beat(0.0, READY, 1)
         self.assertTrue(self.passes(0.5))
         self.beat(1.0, DRAINING, 2)
@@ -54,7 +57,7 @@
         # Its caller has asked before, connecting took until then: asked again before the first byte.
         self.assertIsInstance(self.hop.closed(22.0, "i"), Failure)
 
-    def test_a_restart_inside_it_before_and_after_the_next_beat(self):
+    def test_a_drain_holds_over_a_restart_before_and_after_the_next_heartbeat(self):
         # Guards: the new process knows of no drain; until the server's next beat it knows no server, and that
         # beat says draining, since there is no way back in one life.
         self.beat(0.0, READY, 1)
@@ -65,7 +68,7 @@
         for now in (2.0, 2.1, 3.0, 20.0):
             self.assertFalse(self.passes(now), now)
 
-    def test_a_late_word_opens_nothing(self):
+    def test_a_late_heartbeat_ends_no_drain(self):
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 3)
         self.beat(4.0, READY, 2)
@@ -76,8 +79,8 @@
         self.beat(5.5, READY, 5)
         self.assertFalse(self.passes(6.0))
 
-    def test_a_process_that_stood_still_finds_the_drain_over(self):
+    def test_time_of_a_suspension_counts_for_a_drain(self):
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 2)
-        self.instances.slept(20.0)
+        self.instances.excuse_silence(20.0)
         self.assertFalse(self.passes(21.5))
--- /dev/null
+++ b/tests/mesh/registry/test_endpoint_records.py
@@ -0,0 +1,73 @@
+"""Endpoint records: which one of a node is in force, and what is counted of them."""
+
+from itertools import permutations
+
+import testtools
+
+from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_record
+from foxspread.mesh.registry.heartbeat import READY
+from foxspread.mesh.registry.incarnations import unpack_instance
+
+
+class EndpointRecordsTest(testtools.TestCase):
+    def test_the_newest_record_of_each_node_is_in_force(self):
+        # Guards: merge by version, not by arrival; of a later life before more of an earlier one.
+        rows = [
+            ["n", [incarnation, number], "z", "up", "a:1", []]
+            for incarnation, number in ((1, 1), (1, 9), (2, 1))
+        ]
+        for order in permutations(rows):
+            records = EndpointRecords()
+            taken = [records.update(0.0, unpack_record(row)) for row in order]
+            self.assertEqual((2, 1), records.by_node["n"].version)
+            self.assertTrue(taken[0])
+            self.assertFalse(records.update(0.0, unpack_record(order[0])))
+        record = EndpointRecord(
+            "n", (1, 2), "z", "up", ("a", 1), (unpack_instance(["i", "s", "a:2", "z", 3, READY, 4]),)
+        )
+        self.assertEqual(record, unpack_record(record.packed()))
+
+    def test_callers_have_alternatives_while_half_of_the_zone_is_up(self):
+        # Guards: stopped in turn at short gaps, all of a zone would be away at once and callers find nobody.
+        records = EndpointRecords()
+
+        def say(now, node, state, number=1, zone="z", incarnation=1):
+            records.update(now, unpack_record([node, [incarnation, number], zone, state, "a:1", []]))
+
+        for node in "abc":
+            say(0.0, node, "up")
+        say(0.0, "far", "up", zone="y")
+        spares = [records.callers_have_alternatives(now, "a", "z", 1.5) for now in (1.0, 2.0)]
+        say(2.0, "b", "leaving", 2)
+        spares.append(records.callers_have_alternatives(3.0, "a", "z", 1.5))
+        say(4.0, "b", "up", 1, incarnation=2)
+        say(5.4, "b", "up", 2, incarnation=2)  # more of the same life does not begin anew
+        spares += [records.callers_have_alternatives(now, "a", "z", 1.5) for now in (5.0, 5.6)]
+        self.assertEqual([False, True, False, False, True], spares)
+        self.assertTrue(
+            records.callers_have_alternatives(9.0, "far", "y", 1.5)
+        )  # the only one of its zone waits for nobody
+
+    def test_sidecars_are_counted_as_records_come(self):
+        # Guards: counted as records come, whatever their order: the same as counting all of them.
+        rows = [
+            ["n", [1, 1], "z", "up", "a:1", []],
+            ["n", [1, 2], "y", "leaving", "a:1", []],
+            ["n", [2, 1], "z", "up", "", []],
+            ["m", [1, 1], "y", "up", "b:1", []],
+            ["keeper", [1, 1], "z", "up", "", []],
+        ]
+        for order in permutations(rows):
+            records = EndpointRecords()
+            for number, row in enumerate(order):
+                records.update(float(number), unpack_record(row))
+                sides = [each for each in records.by_node.values() if each.inbound is not None]
+                self.assertEqual(len(sides), records.sidecar_count, order)
+                zones = {zone: {each.node for each in sides if each.zone == zone} for zone in "zy"}
+                self.assertEqual(
+                    zones, {zone: records.sidecars_of_zone.get(zone, set()) for zone in "zy"}, order
+                )
+
+    def test_a_state_of_a_later_version_is_sent_on_as_it_came(self):
+        row = ["n", [1, 1], "z", "resting", "a:1", [["i", "s", "a:2", "z", 3, "thawing", 4, 0.0, "v1"]]]
+        self.assertEqual(row, unpack_record(row).packed())
