--- a/.ci/checks.py
+++ b/.ci/checks.py
@@ -9,17 +9,20 @@
 
 
 def listed(path: pathlib.Path) -> dict[str, str]:
+    """The lines of KNOWN-RED.txt by the test that each names; none where there is no such file."""
     lines = path.read_text().splitlines() if path.exists() else []
     return {line.split(",")[0].strip(): line for line in lines if line.strip() and not line.startswith("#")}
 
 
 def flat(suite: unittest.TestSuite) -> list[unittest.TestCase]:
+    """The tests of a suite and of all suites in it."""
     return [
         each for part in suite for each in (flat(part) if isinstance(part, unittest.TestSuite) else [part])
     ]
 
 
 def main(root: pathlib.Path) -> int:
+    """Runs all tests and prints the closing line; returns the exit code."""
     red = listed(root / "KNOWN-RED.txt")
     tests = flat(unittest.defaultTestLoader.discover("tests", top_level_dir="."))
     runner = unittest.TextTestRunner(stream=sys.stdout, verbosity=2)
--- a/Makefile
+++ b/Makefile
@@ -18,12 +18,13 @@
 
 lint: build
 	.venv/bin/ruff format --check foxspread tests bench .ci
-	.venv/bin/ruff check foxspread tests .ci
+	.venv/bin/ruff check foxspread tests bench .ci
+	.venv/bin/mypy
 
 # Mends layout, and what the linter can mend by itself.
 format: build
 	.venv/bin/ruff format foxspread tests bench .ci
-	.venv/bin/ruff check --fix foxspread tests .ci
+	.venv/bin/ruff check --fix foxspread tests bench .ci
 
 run: build
 	EDGE_CONFIG=$(CONFIG) exec $(PYTHON) -m foxspread
--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -177,9 +177,11 @@
         fresh = time.monotonic() - begun
         status = (await call(one.address, "GET", "/status")).value
         return (
-            f"| versions | folder | memory of the leader | start to listening | to having applied all | removed, wiped, "
-            f"added and caught up |\n| --- | --- | --- | --- | --- | --- |\n| {status['version']} | {size:.1f} MB | "
-            f"{memory:.0f} MB | {listens:.2f} s | {again:.2f} s | {fresh:.2f} s |"
+            "| versions | folder | memory of the leader | start to listening | to having applied all | "
+            "removed, wiped, added and caught up |\n"
+            "| --- | --- | --- | --- | --- | --- |\n"
+            f"| {status['version']} | {size:.1f} MB | {memory:.0f} MB | "
+            f"{listens:.2f} s | {again:.2f} s | {fresh:.2f} s |"
         )
 
 
@@ -189,14 +191,15 @@
         "",
         f"`.venv/bin/python bench/consensus.py --out {out}`{' (quick)' if quick else ''}, "
         f"{datetime.date.today()}, {os.cpu_count()} cores ({platform.machine()}), Python "
-        f"{platform.python_version()}, Linux {platform.release().split('-')[0]}. Real processes on loopback behind "
-        "relays; fsync is the machine's own.",
+        f"{platform.python_version()}, Linux {platform.release().split('-')[0]}. Real processes on loopback "
+        "behind relays; fsync is the machine's own.",
         "",
         "## Writes",
         "",
         "Writers put one after another at the leader.",
         "",
-        "| members | writers | puts a second | p50 ms | p99 ms | largest ms | records a commit | ms a commit |",
+        "| members | writers | puts a second | p50 ms | p99 ms | largest ms "
+        "| records a commit | ms a commit |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for members in (3, 5):
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -100,9 +100,10 @@
 
 
 def start(folder):
-    code = f"import sys; sys.path[:0] = [{str(folder)!r}, {str(TOP / 'bench')!r}]; import decisions; decisions.worker()"
-    return subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
-                            cwd=folder)  # fmt: skip
+    path = [str(folder), str(TOP / "bench")]
+    code = f"import sys; sys.path[:0] = {path!r}; import decisions; decisions.worker()"
+    pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
+    return subprocess.Popen([sys.executable, "-c", code], **pipes, cwd=folder)
 
 
 def ask(process, *task):
--- a/bench/eight_orders.py
+++ b/bench/eight_orders.py
@@ -39,7 +39,8 @@
 @click.option("--runs", default=60, help="Seeds of each row, 12 rounds each.")
 def main(runs: int) -> None:
     print(
-        "| machines | sync ms | at once | trouble | p50 ms | p99 ms | max ms |\n| --- | --- | --- | --- | --- | --- | --- |"
+        "| machines | sync ms | at once | trouble | p50 ms | p99 ms | max ms |\n"
+        "| --- | --- | --- | --- | --- | --- | --- |"
     )
     for machines in (3, 5, 7):
         for sync in (0.0005, 0.005):
--- a/foxspread/mesh/hollow/slopes.py
+++ b/foxspread/mesh/hollow/slopes.py
@@ -1,4 +1,4 @@
-"""What figures by size tell: by which power each grows, and where that leads. Pure."""
+"""How figures grow with size: the power of each, and its extrapolation to a larger size. No I/O."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -13,7 +13,8 @@
     power: float
 
     def at(self, size: float) -> float:
-        return self.at_one * size**self.power
+        """Return the figure at this size."""
+        return self.at_one * math.pow(size, self.power)
 
 
 def slope(figures: Mapping[int, float]) -> Slope | None:
@@ -45,10 +46,13 @@
         carried = ["-", "-"] if found is None else [f"{found.power:.2f}", shown(found.at(target))]
         rows.append([name, *(shown(each[size]) if size in each else "-" for size in sizes), *carried])
     widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
-    return [
-        "  ".join([row[0].ljust(widths[0]), *(t.rjust(w) for t, w in zip(row[1:], widths[1:]))]).rstrip()
-        for row in rows
-    ]
+    return ["  ".join(_aligned(row, widths)).rstrip() for row in rows]
+
+
+def _aligned(row: Sequence[str], widths: Sequence[int]) -> list[str]:
+    """The first cell to the left, the others to the right."""
+    figures = zip(row[1:], widths[1:], strict=True)
+    return [row[0].ljust(widths[0]), *(text.rjust(width) for text, width in figures)]
 
 
 def shown(value: float) -> str:
--- a/tests/deploy/test_packages.py
+++ b/tests/deploy/test_packages.py
@@ -3,6 +3,7 @@
 import pathlib
 import re
 import tomllib
+from typing import Any
 
 import testtools
 
@@ -15,7 +16,7 @@
 }  # fmt: skip
 
 
-def deploy_file(name: str) -> dict:
+def deploy_file(name: str) -> dict[str, Any]:
     return tomllib.loads((ROOT / "deploy" / name).read_text())
 
 
@@ -39,7 +40,7 @@
         line = re.search(
             r"apt-get install --no-install-recommends ([^\n#]+)", (ROOT / "README.md").read_text()
         )
-        self.assertIsNotNone(line, "README.md says how to install the packages")
+        assert line is not None, "README.md says how to install the packages"
         named = set(line[1].split())
         wanted = set(deploy_file("system.toml")["packages"]) | set(deploy_file("balancer.toml")["packages"])
         self.assertEqual(wanted, named)
