--- a/foxspread/mesh/__init__.py
+++ b/foxspread/mesh/__init__.py
@@ -1,2 +1,2 @@
-"""The mesh: one program for all machines. docs/design/orchard.md has the choice, docs/architecture.md the
+"""The mesh: one program for all machines. docs/design/mesh.md has the choice, docs/architecture.md the
 names."""
--- /dev/null
+++ b/tests/docs/test_links.py
@@ -0,0 +1,54 @@
+"""Documents that others name are there: in Markdown links, and as paths in code spans and comments."""
+
+import pathlib
+import re
+import tempfile
+
+import testtools
+
+ROOT = pathlib.Path(__file__).parents[2]
+LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
+DOCUMENT = re.compile(r"(?<![\w/])docs/[\w/.-]+\.(?:md|json|txt)\b")  # from the root
+SIBLING = re.compile(r"`((?:[\w-]+/)?[\w-]+\.md)`")  # beside the page, or in one of PLACES
+PLACES = (ROOT, ROOT / "docs", ROOT / "docs/design", ROOT / "docs/operators")
+INCIDENTS = ROOT / "docs/incidents"  # written once; names are those of their day
+
+
+def pages() -> list[pathlib.Path]:
+    """All Markdown pages that are kept up to date."""
+    found = [*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")]
+    return [page for page in found if INCIDENTS not in page.parents]
+
+
+def broken_links(page: pathlib.Path) -> list[str]:
+    """The links and paths of a page that lead nowhere, each once."""
+    text = page.read_text()
+    links = [link for link in LINK.findall(text) if "://" not in link and not link.startswith("mailto:")]
+    broken = [link for link in links if not (page.parent / link).exists()]
+    broken += [name for name in DOCUMENT.findall(text) if not (ROOT / name).exists()]
+    places = (page.parent, *PLACES)
+    broken += [name for name in SIBLING.findall(text) if not any((each / name).exists() for each in places)]
+    return [f"{page.relative_to(ROOT)}: {name}" for name in dict.fromkeys(broken)]
+
+
+class Links(testtools.TestCase):
+    def test_pages_name_what_is_there(self) -> None:
+        found = pages()
+        self.assertGreater(len(found), 30)
+        self.assertEqual([], [fault for page in found for fault in broken_links(page)])
+
+    def test_deploy_files_name_what_is_there(self) -> None:
+        faults = [
+            f"{path.name}: {name}"
+            for path in (ROOT / "deploy").glob("*.toml")
+            for name in DOCUMENT.findall(path.read_text())
+            if not (ROOT / name).exists()
+        ]
+        self.assertEqual([], faults)
+
+    def test_a_broken_link_is_found(self) -> None:
+        folder = tempfile.TemporaryDirectory(dir=ROOT / "tests")  # inside the root, as all pages are
+        self.addCleanup(folder.cleanup)
+        page = pathlib.Path(folder.name) / "page.md"
+        page.write_text("[here](none.md), `docs/none.md`, `design/none-either.md`, [fine](page.md#part)")
+        self.assertEqual(3, len(broken_links(page)))
