--- /dev/null
+++ b/tests/mesh/replication/replica_under_test.py
@@ -0,0 +1,90 @@
+"""One replica without I/O: all that the recorded session needs of the mesh's code.
+
+Writes are durable at once, draws of chance are constant and the time is set from outside, so that a replica
+does the same in each run.
+"""
+
+from collections import deque
+from typing import Any
+
+from foxspread.mesh.configuration.items import unpack_item
+from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.replica import Replica
+from foxspread.mesh.transport.netstrings import Decoder, encode
+
+CALL_TIMEOUT_S = 0.85
+DRAW = 0.5
+
+
+class ReplicaUnderTest:
+    """Takes one input at a time; what it did since the last one stands in `sent`, `outcomes`, `committed`.
+
+    Messages are netstrings as they go over a connection.
+    """
+
+    def __init__(self, name: str, members: tuple[str, ...], disk: tuple[int, str], wiped: bool) -> None:
+        """`wiped`: its disk came back empty, and it has to enrol."""
+        self.now = 0.0
+        self.sent: list[tuple[str, bytes]] = []
+        self.outcomes: list[bool | tuple[int, str]] = []
+        self.committed: list[list] = []
+        self._due: deque[tuple] = deque()
+        self._replica = Replica(
+            lambda: self.now,
+            f"{name}-life",
+            lambda: DRAW,
+            lambda writes, then: then(),
+            lambda to, message: self.sent.append((to, encode(message))),
+            lambda call, *arguments: self._due.append((call, arguments)),
+            lambda items: self.committed.extend(item.packed() for item in items),
+        )
+        saved = Saved(disk, members, voting=not wiped, known=not wiped)
+        self._replica.begin(Acceptor(name, saved))
+
+    def submit(self, items: list[list]) -> None:
+        """A call with packed items; without items a read."""
+        self._replica.ask([unpack_item(row) for row in items], self._complete, CALL_TIMEOUT_S)
+        self._run_due()
+
+    def receive(self, sender: str, data: bytes) -> None:
+        """A message from another replica."""
+        (message,) = Decoder().feed(data)
+        self._replica.heard(sender, message)
+        self._run_due()
+
+    def tick(self) -> None:
+        """The timer of the process."""
+        self._replica.tick()
+        self._run_due()
+
+    def connect(self, member: str) -> None:
+        """A connection to that member has come up."""
+        self._replica.reached(member)
+        self._run_due()
+
+    def peer_committed(self, proposal_number: tuple[int, str]) -> None:
+        """Another replica is known to have committed that."""
+        self._replica.peer_committed(proposal_number)
+        self._run_due()
+
+    def roll_back(self) -> None:
+        """Others have met a later state of its disk."""
+        self._replica.found_older("nonce")
+        self._run_due()
+
+    def committed_number(self) -> tuple[int, str]:
+        """The newest proposal that it knows to be committed."""
+        return self._replica.acceptor.learner.committed_number
+
+    def items(self) -> list[list]:
+        """All committed items, packed."""
+        items = self._replica.acceptor.learner.items.values()
+        return sorted((item.packed() for item in items), key=lambda row: row[:2])
+
+    def _complete(self, outcome: Any) -> None:
+        self.outcomes.append(True if outcome is True else (outcome.status, outcome.reason))
+
+    def _run_due(self) -> None:
+        while self._due:
+            call, arguments = self._due.popleft()
+            call(*arguments)
