--- a/tests/mesh/control_api/control_api_under_test.py
+++ b/tests/mesh/control_api/control_api_under_test.py
@@ -20,8 +20,9 @@
 from foxspread.mesh.control_api.instances import InstancesResource
 from foxspread.mesh.dataplane.serving import Desk, Serving
 from foxspread.mesh.registry.incarnations import InstanceTable
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica_server import ReplicaServer
+from foxspread.mesh.replication.stored_state import RecoveredState
 from tests.mesh.helpers import Loop, Transport
 
 NODE = "10.0.0.1:8080"
@@ -49,7 +50,7 @@
 class MemoryStorage:
     """Writes are durable at once."""
 
-    def put(self, writes, then):
+    def write(self, writes, then):
         then()
 
 
@@ -84,7 +85,7 @@
     if kind is ProcessKind.NOT_OPEN:
         return replica
     members = (NODE, *OTHER_MEMBERS) if kind is ProcessKind.NO_QUORUM else (NODE,)
-    replica.begin(Acceptor(NODE, Saved((0, "disk-1"), members, voting=True, known=True)))
+    replica.begin(Acceptor(NODE, RecoveredState((0, "disk-1"), members, voting=True, members_confirmed=True)))
     tick_every(loop, replica.tick)
     if kind is ProcessKind.FAULTY:
         replica.submit = mock.Mock(side_effect=ValueError("a bug"))
--- a/tests/mesh/replication/replica_under_test.py
+++ b/tests/mesh/replication/replica_under_test.py
@@ -8,8 +8,9 @@
 from typing import Any
 
 from foxspread.mesh.configuration.items import unpack_item
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import Replica
+from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.transport.netstrings import Decoder, encode
 
 CALL_TIMEOUT_S = 0.85
@@ -38,18 +39,18 @@
             lambda call, *arguments: self._due.append((call, arguments)),
             lambda items: self.committed.extend(item.packed() for item in items),
         )
-        saved = Saved(disk, members, voting=not wiped, known=not wiped)
+        saved = RecoveredState(disk, members, voting=not wiped, members_confirmed=not wiped)
         self._replica.begin(Acceptor(name, saved))
 
     def submit(self, items: list[list]) -> None:
         """A call with packed items; without items a read."""
-        self._replica.ask([unpack_item(row) for row in items], self._complete, CALL_TIMEOUT_S)
+        self._replica.call([unpack_item(row) for row in items], self._complete, CALL_TIMEOUT_S)
         self._run_due()
 
     def receive(self, sender: str, data: bytes) -> None:
         """A message from another replica."""
         (message,) = Decoder().feed(data)
-        self._replica.heard(sender, message)
+        self._replica.receive(sender, message)
         self._run_due()
 
     def tick(self) -> None:
@@ -59,17 +60,17 @@
 
     def connect(self, member: str) -> None:
         """A connection to that member has come up."""
-        self._replica.reached(member)
+        self._replica.on_connected(member)
         self._run_due()
 
     def peer_committed(self, proposal_number: tuple[int, str]) -> None:
         """Another replica is known to have committed that."""
-        self._replica.peer_committed(proposal_number)
+        self._replica.on_peer_committed(proposal_number)
         self._run_due()
 
     def roll_back(self) -> None:
         """Others have met a later state of its disk."""
-        self._replica.found_older("nonce")
+        self._replica.on_rolled_back("nonce")
         self._run_due()
 
     def committed_number(self) -> tuple[int, str]:
