--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -17,30 +17,32 @@
 from foxspread.mesh.simulation.actions import Crash, Wipe
 from tests.mesh.replication.scripted_replicas import (
     FIVE,
-    ORDERS,
-    SHOWN_BY,
+    SCRIPTS,
+    SCRIPTS_BY_MUTANT,
     THREE,
-    answer,
-    ask,
-    begin,
-    enrol,
-    create_state,
-    put,
+    deliver_reply,
+    send_prepare,
+    start_attempt,
+    deliver_enrolment,
+    new_state,
+    send_accept,
     route,
     service,
-    wipe,
+    wipe_and_enrol,
 )
 
 V1, V2 = service(tag=1), service(tag=2)
 
 
-def calls(state: ClusterState, name: str, others: str, above: int | None = None) -> tuple[Item, bool] | None:
+def propose(
+    state: ClusterState, name: str, others: str, above: int | None = None
+) -> tuple[Item, bool] | None:
     """Its next call, with all answers of `others`; its outcome where there is one."""
     before = len(state.answers)
-    begin(state, name, above)
-    ask(state, name, others)
+    start_attempt(state, name, above)
+    send_prepare(state, name, others)
     if state.proposers[name].proposed_delta is not None:
-        put(state, name, others)
+        send_accept(state, name, others)
     return state.answers[-1] if len(state.answers) > before else None
 
 
@@ -51,17 +53,17 @@
     proposer.submit(0.0, item, [item], 1e9)
 
 
-class Orders(TestCase):
-    def test_orders_that_a_mistake_breaks(self) -> None:
+class MessageOrders(TestCase):
+    def test_each_mutant_fails_in_the_script_that_shows_it(self) -> None:
         # The cores stand each; every broken one falls by its own: else an order tests nothing.
-        for name, order in ORDERS.items():
-            self.assertEqual([], order(Cores()).violations, name)
-        for broken, names in SHOWN_BY.items():
-            for begins in names:
-                order = next(order for name, order in ORDERS.items() if name.startswith(begins))
-                self.assertNotEqual([], order(MUTANTS[broken]).violations, (broken, begins))
-
-    def test_all_orders_of_small_cases(self) -> None:
+        for name, script in SCRIPTS.items():
+            self.assertEqual([], script(Cores()).violations, name)
+        for mutant, names in SCRIPTS_BY_MUTANT.items():
+            for prefix in names:
+                script = next(script for name, script in SCRIPTS.items() if name.startswith(prefix))
+                self.assertNotEqual([], script(MUTANTS[mutant]).violations, (mutant, prefix))
+
+    def test_all_message_orders_of_small_cases_are_safe(self) -> None:
         # Nothing is out of reach of a schedule: every order, of messages, crashes, wipes; states are counted
         # so that a case that shrinks by mistake is seen.
         one, two = (("a", V1),), (("a", V1), ("b", V2))
@@ -71,87 +73,87 @@
             (Case(calls=one, wipes=1, may_wipe=("c",)), 500),
             (Case(calls=two, gossip=True, members=("a", "b")), 50),
         )
-        for case, least in cases:
-            found = explore(case)
-            self.assertEqual((True, []), (found.complete, found.path + found.violations), case)
-            self.assertGreater(found.states, least, case)
+        for case, min_states in cases:
+            result = explore(case)
+            self.assertEqual((True, []), (result.complete, result.path + result.violations), case)
+            self.assertGreater(result.states, min_states, case)
 
-    def test_the_explorer_finds_what_is_broken(self) -> None:
+    def test_the_explorer_finds_mutants(self) -> None:
         for name in ("any ballot is accepted", "acknowledges after one acceptance"):
-            found = explore(Case(calls=(("a", V1), ("b", V2))), MUTANTS[name], state_limit=20_000)
-            self.assertNotEqual([], found.violations, name)
+            result = explore(Case(calls=(("a", V1), ("b", V2))), MUTANTS[name], state_limit=20_000)
+            self.assertNotEqual([], result.violations, name)
 
-    def test_three_writers_on_one_version(self) -> None:
+    def test_one_of_three_writers_of_one_version_succeeds(self) -> None:
         # Whoever comes first with whichever machine, one content is taken and two are refused.
         items = {name: service(tag=n) for n, name in enumerate(THREE)}
         for first, second, third in permutations(THREE):
-            state = create_state(THREE, *items.items())
-            begin(state, first)
-            ask(state, first, second)  # its own disk alone accepts
-            begin(state, second, above=1)
-            ask(state, second, third)
-            begin(state, third, above=2)
+            state = new_state(THREE, *items.items())
+            start_attempt(state, first)
+            send_prepare(state, first, second)  # its own disk alone accepts
+            start_attempt(state, second, above=1)
+            send_prepare(state, second, third)
+            start_attempt(state, third, above=2)
             for above, name in enumerate((first, third, second), start=9):
-                calls(state, name, second if name != second else third, above)
+                propose(state, name, second if name != second else third, above)
             self.assertEqual([], state.violations)
             self.assertEqual([False, False, True], sorted(taken for _, taken in state.answers))
 
-    def test_a_writer_dies_and_its_call_is_sent_elsewhere(self) -> None:
+    def test_a_call_is_retried_elsewhere_after_its_proposer_dies(self) -> None:
         # After none, one, two, three acceptances; resent unchanged it is taken whatever came of it; another
         # content is refused where the first may have been settled, and only one of them ever holds.
         for accepted in ("", "b", "bc"):
             for item in (V1, V2):
-                state = create_state(THREE, ("a", V1))
-                begin(state, "a")
-                ask(state, "a", "bc")
-                put(state, "a", accepted, back=False)
+                state = new_state(THREE, ("a", V1))
+                start_attempt(state, "a")
+                send_prepare(state, "a", "bc")
+                send_accept(state, "a", accepted, with_replies=False)
                 state.do(Crash("a"))
                 submit(state, "c", item)
-                outcome = calls(state, "c", "b")
+                outcome = propose(state, "c", "b")
                 self.assertEqual((item, item is V1 or not accepted), outcome, (accepted, item))
                 self.assertEqual([], state.violations)
 
-    def test_power_lost_between_two_syncs_of_one_call(self) -> None:
+    def test_a_promise_survives_power_loss_before_the_accept(self) -> None:
         # Promised and not accepted: the promise is kept, the call is not half there.
-        state = create_state(THREE, ("a", V1))
-        begin(state, "a")
-        ask(state, "a", "bc")
+        state = new_state(THREE, ("a", V1))
+        start_attempt(state, "a")
+        send_prepare(state, "a", "bc")
         for name in THREE:
             state.do(Crash(name))
         self.assertEqual([(1, "a.0")] * 3, [state.acceptors[name].promised for name in THREE])
         submit(state, "b", V2)
-        self.assertEqual((V2, True), calls(state, "b", "c"))
+        self.assertEqual((V2, True), propose(state, "b", "c"))
 
-    def test_all_start_in_any_order_with_one_disk_empty(self) -> None:
+    def test_restarts_in_any_order_with_one_empty_disk_lose_nothing(self) -> None:
         # An acknowledged call is known to any two that vote, whichever disk was wiped,
         # the proposer's as well.
         for wiped in THREE:
             for others in permutations(name for name in THREE if name != wiped):
-                state = create_state(THREE, ("a", V1))
-                self.assertEqual((V1, True), calls(state, "a", "c"))
+                state = new_state(THREE, ("a", V1))
+                self.assertEqual((V1, True), propose(state, "a", "c"))
                 for name in others:
                     state.do(Crash(name))
                 state.do(Wipe(wiped))
-                enrol(state, wiped, others[0])
+                deliver_enrolment(state, wiped, others[0])
                 self.assertFalse(state.acceptors[wiped].serves)
-                enrol(state, wiped, others[1])
+                deliver_enrolment(state, wiped, others[1])
                 self.assertEqual({V1.key: V1}, read_from([state.acceptors[wiped], state.acceptors["b"]]))
                 self.assertEqual([], state.violations)
 
-    def test_one_that_was_wiped_keeps_to_what_it_had_promised(self) -> None:
+    def test_a_wiped_acceptor_honours_its_lost_promise(self) -> None:
         # Promised to 9, wiped, asked with 7: the promise that it can't remember is told by who made it too.
-        state = create_state(THREE, ("a", V1), ("b", V2))
-        begin(state, "a", above=8)
-        ask(state, "a", "c")
-        wipe(state, "c", "ab")
-        begin(state, "b", above=6)
-        ask(state, "b", "c")
+        state = new_state(THREE, ("a", V1), ("b", V2))
+        start_attempt(state, "a", above=8)
+        send_prepare(state, "a", "c")
+        wipe_and_enrol(state, "c", "ab")
+        start_attempt(state, "b", above=6)
+        send_prepare(state, "b", "c")
         self.assertEqual((None, 9), (state.proposers["b"].proposal_number, state.acceptors["c"].promised[0]))
 
-    def test_an_older_identity_that_comes_late_does_not_shut_out_the_newer(self) -> None:
+    def test_a_late_enrolment_of_an_older_disk_does_not_exclude_the_newer(self) -> None:
         # Guards against a machine that is wiped twice and is never heard again by one it asked meanwhile.
-        state = create_state(FIVE, ("a", V1))
-        wipe(state, "x", "bcd")
+        state = new_state(FIVE, ("a", V1))
+        wipe_and_enrol(state, "x", "bcd")
         state.do(Wipe("x"))
         for other in "abd":
             state.deliver_kind("x", other, "enrol", newest=True)
@@ -159,9 +161,9 @@
         for other in "abd":
             state.deliver_kind(other, "x", "enrolled", newest=other != "a")
         self.assertTrue(state.acceptors["x"].voting)
-        self.assertEqual((V1, True), calls(state, "a", "xc"))
+        self.assertEqual((V1, True), propose(state, "a", "xc"))
 
-    def test_a_new_identity_rises_above_all_that_were_noted(self) -> None:
+    def test_a_new_identity_is_above_all_recorded_ones(self) -> None:
         # Chance alone says nothing of which of two disks is the newer one.
         acceptors = {
             name: Acceptor(name, RecoveredState((0, name), FIVE, voting=True, members_confirmed=True))
@@ -176,17 +178,17 @@
         self.assertEqual(((2, "m"), True), (acceptor.disk, acceptor.voting))
         self.assertEqual({(2, "m")}, {each.disks["x"] for each in acceptors.values()})
 
-    def test_one_that_is_behind_is_brought_up(self) -> None:
+    def test_an_acceptor_that_is_behind_gets_the_missing_rows(self) -> None:
         # A proposer that does not know how far another is asks, and what it sends then is shown there.
-        state = create_state(THREE, ("a", V1), ("b", service("w")))
-        calls(state, "a", "b")
-        calls(state, "b", "a")
+        state = new_state(THREE, ("a", V1), ("b", service("w")))
+        propose(state, "a", "b")
+        propose(state, "b", "a")
         submit(state, "b", service("u"))
-        begin(state, "b")
-        ask(state, "b", "a")
+        start_attempt(state, "b")
+        send_prepare(state, "b", "a")
         state.deliver_kind("b", "c", "accept", newest=True)
-        answer(state, "c", "b")  # behind
-        put(state, "b", "c")
+        deliver_reply(state, "c", "b")  # behind
+        send_accept(state, "b", "c")
         self.assertEqual(state.acceptors["b"].learner.items, read_from([state.acceptors["c"]]))
         self.assertEqual(3, len(state.acceptors["c"].learner.items) + len(state.acceptors["c"].delta))
 
@@ -194,7 +196,7 @@
 class Outcomes(TestCase):
     """What a second call comes to, at another machine, after a first."""
 
-    def test_outcomes(self) -> None:
+    def test_outcome_of_a_second_call_after_a_first(self) -> None:
         # 409 for another content of a version that holds, 400 for what may not stand, and nothing of either
         # comes into force; what is no news is acknowledged.
         drop = Item("service", "v", 1, None)
@@ -213,11 +215,11 @@
             ("a route to nothing", [], here, 400),
         )
         for name, before, item, status in rows:
-            state = create_state(THREE)
+            state = new_state(THREE)
             for each in before:
                 submit(state, "a", each)
-                self.assertEqual((each, True), calls(state, "a", "b"), name)
-            done, acceptors, proposer = [], state.acceptors, state.proposers["c"]
+                self.assertEqual((each, True), propose(state, "a", "b"), name)
+            completed, acceptors, proposer = [], state.acceptors, state.proposers["c"]
             proposer.highest_seen = 50
             waiting = [("c", *each) for each in proposer.submit(0.0, "call", [item], 1e9).sends]
             while waiting:
@@ -228,9 +230,9 @@
                     waiting.append((to, "c", acceptors[to].accept(message).reply))
                 else:
                     out = proposer.receive(0.0, sender, message)
-                    done += out.completed
+                    completed += out.completed
                     waiting += [("c", *each) for each in out.sends]
-            (_, outcome), held = done[0], acceptors["c"].learner.items.get(item.key)
+            (_, outcome), item_here = completed[0], acceptors["c"].learner.items.get(item.key)
             self.assertEqual(status, outcome.status if isinstance(outcome, Failure) else None, name)
             if status is not None:
-                self.assertNotEqual(item, held, name)
+                self.assertNotEqual(item, item_here, name)
--- a/tests/mesh/simulation/test_explorer.py
+++ b/tests/mesh/simulation/test_explorer.py
@@ -11,7 +11,15 @@
 from foxspread.mesh.simulation.cluster_state import Case, ClusterState
 from foxspread.mesh.simulation.explorer import explore
 from foxspread.mesh.simulation.machines import Cores
-from tests.mesh.replication.scripted_replicas import THREE, ask, begin, put, route, service, wipe
+from tests.mesh.replication.scripted_replicas import (
+    THREE,
+    send_prepare,
+    start_attempt,
+    send_accept,
+    route,
+    service,
+    wipe_and_enrol,
+)
 
 FOUR = ("a", "b", "c", "d")
 ROUTE, SERVICE = route("r", "/p/", "v"), service("v")
@@ -25,15 +33,15 @@
     """The known example against changes of one machine that the new set alone counts: a takes d out and
     reaches nobody; d takes a out with c; a tries again with b."""
     state = ClusterState.create(Case(FOUR, (("a", to("abc")), ("d", to("bcd"))), attempts=3), cores)
-    begin(state, "a")
-    ask(state, "a", "bc")
-    begin(state, "d", above=1)
-    ask(state, "d", "bc")
-    put(state, "d", "c")
-    begin(state, "a", above=2)
-    ask(state, "a", "b")
+    start_attempt(state, "a")
+    send_prepare(state, "a", "bc")
+    start_attempt(state, "d", above=1)
+    send_prepare(state, "d", "bc")
+    send_accept(state, "d", "c")
+    start_attempt(state, "a", above=2)
+    send_prepare(state, "a", "b")
     if any(each[:2] == ("a", "b") for each in state.in_flight):
-        put(state, "a", "b")
+        send_accept(state, "a", "b")
     return state
 
 
@@ -74,12 +82,12 @@
             (Cores(), []),
         ):
             state = ClusterState.create(Case(FOUR, (("a", to("abc")), ("b", second)), attempts=3), cores)
-            begin(state, "a")
-            ask(state, "a", "bc")
-            put(state, "a", "c", back=False)
-            begin(state, "b", above=1)
-            ask(state, "b", "ca")
-            put(state, "b", "ca")
+            start_attempt(state, "a")
+            send_prepare(state, "a", "bc")
+            send_accept(state, "a", "c", with_replies=False)
+            start_attempt(state, "b", above=1)
+            send_prepare(state, "b", "ca")
+            send_accept(state, "b", "ca")
             self.assertEqual(violations, state.violations[:1])
 
     def test_one_that_enrolled_votes_once_it_holds_all(self) -> None:
@@ -93,14 +101,14 @@
             state = ClusterState.create(
                 Case(THREE, (("a", SERVICE), ("c", other)), attempts=3, wipes=1), cores
             )
-            begin(state, "a")
-            ask(state, "a", "b")
-            put(state, "a", "b")
-            wipe(state, "b", "ac")
-            begin(state, "c", above=1)
-            ask(state, "c", "b")
+            start_attempt(state, "a")
+            send_prepare(state, "a", "b")
+            send_accept(state, "a", "b")
+            wipe_and_enrol(state, "b", "ac")
+            start_attempt(state, "c", above=1)
+            send_prepare(state, "c", "b")
             if any(each[:2] == ("c", "b") for each in state.in_flight):
-                put(state, "c", "b")
+                send_accept(state, "c", "b")
             self.assertEqual(violations, bool(state.violations))
 
     def test_one_holds_a_lease(self) -> None:
--- a/tests/mesh/simulation/test_fleet.py
+++ b/tests/mesh/simulation/test_fleet.py
@@ -11,7 +11,7 @@
 from foxspread.mesh.simulation.events import Event
 from foxspread.mesh.simulation.schedule import FAULTS, Plan, draw_schedule, named_plans
 from foxspread.mesh.simulation.campaign import run_campaign, trace_seed
-from tests.mesh.replication.scripted_replicas import SHOWN_BY, route, service
+from tests.mesh.replication.scripted_replicas import SCRIPTS_BY_MUTANT, route, service
 
 CAUGHT_BY = {  # what is broken, by which rule and in which day and seed it is caught
     "any ballot is accepted": ("consistent", "short", 1),
@@ -141,7 +141,7 @@
                 ]
                 found = sum(each.rule == rule for one in played for each in one.violations)
                 self.assertEqual(expected, min(1, found), name)
-        self.assertEqual(set(MUTANTS), {*scripts, *CAUGHT_BY, *SHOWN_BY, *CAUGHT_BY_THE_EXPLORER})
+        self.assertEqual(set(MUTANTS), {*scripts, *CAUGHT_BY, *SCRIPTS_BY_MUTANT, *CAUGHT_BY_THE_EXPLORER})
 
     def test_a_counterexample_is_minimised(self) -> None:
         name = "reads from its own copy"
