--- a/foxspread/mesh/cli.py
+++ b/foxspread/mesh/cli.py
@@ -24,11 +24,13 @@
     """Accepts the former names of commands too."""
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """Of `click.Group`."""
         return super().get_command(context, ALIASES.get(name, name))
 
     def resolve_command(
         self, context: click.Context, arguments: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
+        """Of `click.Group`. Usage lines show the present name."""
         _, command, rest = super().resolve_command(context, arguments)
         return command.name if command else None, command, rest
 
@@ -210,10 +212,10 @@
 
     from foxspread.mesh.hollow.experiment import Shape, lines
 
-    place = pathlib.Path(folder or tempfile.mkdtemp(prefix="mesh-hollow-")).absolute()
+    directory = pathlib.Path(folder or tempfile.mkdtemp(prefix="mesh-hollow-")).absolute()
     try:
         figures = uvloop.run(
-            _measure(Shape(phase_s=seconds, **shape), sizes, place, pathlib.Path(out), 60 * minutes)
+            _measure(Shape(phase_s=seconds, **shape), sizes, directory, pathlib.Path(out), 60 * minutes)
         )
     except asyncio.CancelledError:
         raise click.ClickException("ended by a signal") from None
--- a/foxspread/mesh/transport/datagrams.py
+++ b/foxspread/mesh/transport/datagrams.py
@@ -17,9 +17,11 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
+        """Of `asyncio.DatagramProtocol`."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
+        """Of `asyncio.DatagramProtocol`. Bytes that are no message are dropped."""
         messages = Decoder().feed(data)
         for fields in () if isinstance(messages, Failure) else messages:
             self.on_message(fields)
--- a/foxspread/mesh/transport/messages.py
+++ b/foxspread/mesh/transport/messages.py
@@ -14,7 +14,7 @@
 from foxspread.mesh.settings import Address
 
 Fields = dict[str, Any]  # a message as JSON has it
-Version = tuple  # of a source of state: only grows, compared as tuples are
+Version = tuple[int | str, ...]  # of a source of state: only grows, compared as tuples are
 VersionVector = Mapping[str, Version]  # version by source
 
 KIND = "t"
@@ -32,7 +32,8 @@
 class Message(Protocol):
     """What all message types have."""
 
-    def packed(self) -> Fields: ...
+    def packed(self) -> Fields:
+        """The fields in the order in which they are sent."""
 
 
 def _refuses_malformed(decode: Callable[[type, Fields], Any]) -> Callable[[type, Fields], Any]:
@@ -58,10 +59,12 @@
     age: int = 0  # shuffles since it introduced itself
 
     def packed(self) -> list[Any]:
+        """Its row in a message."""
         return [self.node, list(self.address), self.has_storage, self.age]
 
     @classmethod
     def decode(cls, row: list[Any]) -> Self:
+        """The reverse of `packed`."""
         node, address, has_storage, age = row
         return cls(str(node), (str(address[0]), int(address[1])), bool(has_storage), int(age))
 
@@ -78,6 +81,7 @@
     in_contact: bool  # it is a replica in contact with a quorum
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         return {
             KIND: self.kind,
             NODE: self.node,
@@ -90,6 +94,7 @@
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         member = fields[MEMBER]
         return cls(
             fields[NODE],
@@ -107,6 +112,7 @@
     kind: ClassVar[str] = "beat"
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         return {KIND: self.kind}
 
 
@@ -118,11 +124,13 @@
     versions: VersionVector
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         return {KIND: self.kind, VERSIONS: self.versions}
 
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         return cls({source: tuple(version) for source, version in fields[VERSIONS].items()})
 
 
@@ -135,11 +143,13 @@
     requested_at: float  # seconds on the asker's clock; returned with the answer
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         return {KIND: self.kind, VERSIONS: self.versions, REQUESTED_AT: self.requested_at}
 
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         return cls(fields[VERSIONS], fields[REQUESTED_AT])
 
 
@@ -157,6 +167,7 @@
     records: Iterable[list[Any]] | None = None  # packed endpoint records; None: the sender has none of these
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         fields: Fields = {KIND: self.kind, REQUESTED_AT: self.requested_at}
         if self.committed_number is not None:
             fields[COMMITTED_NUMBER], fields[AGE] = self.committed_number, self.age_s
@@ -167,6 +178,7 @@
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         if COMMITTED_NUMBER not in fields:
             return cls(fields.get(REQUESTED_AT), records=fields.get(RECORDS))
         number = fields[COMMITTED_NUMBER]
@@ -181,11 +193,13 @@
     in_contact: bool
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         return {KIND: self.kind, IN_CONTACT: self.in_contact}
 
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         return cls(bool(fields[IN_CONTACT]))
 
 
@@ -198,11 +212,13 @@
     neighbours: tuple[Neighbour, ...]
 
     def packed(self) -> Fields:
+        """Its fields, in the order of the wire."""
         return {KIND: self.kind, NODE: self.node, VIEW: [each.packed() for each in self.neighbours]}
 
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         return cls(fields.get(NODE, ""), _neighbours(fields[VIEW]))
 
 
@@ -215,6 +231,7 @@
     @classmethod
     @_refuses_malformed
     def decode(cls, fields: Fields) -> Self:
+        """Raises `MalformedMessageError`."""
         return cls(fields[NODE], _neighbours(fields[VIEW]))
 
 
--- a/foxspread/mesh/transport/netstrings.py
+++ b/foxspread/mesh/transport/netstrings.py
@@ -8,11 +8,10 @@
 """
 
 import zlib
-from typing import Any
-
 import orjson
 
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.transport.messages import KIND, Fields
 
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # compressed or not
 COMPRESS_FROM_BYTES = 1500  # below that, one packet holds it anyway
@@ -20,11 +19,11 @@
 MAX_LENGTH_DIGITS = 9  # with the colon: a longer length is refused before its end is read
 
 
-def encode(message: dict[str, Any]) -> bytes | Failure:
+def encode(message: Fields) -> bytes | Failure:
     """The bytes of a message; a failure if it is too large for any peer to accept."""
     body = orjson.dumps(message)
     if len(body) > MAX_MESSAGE_BYTES:
-        return Failure(f"a message {message.get('t')!r} of {len(body)} bytes")
+        return Failure(f"a message {message.get(KIND)!r} of {len(body)} bytes")
     if len(body) > COMPRESS_FROM_BYTES:
         body = zlib.compress(body, COMPRESSION_LEVEL)
     return b"%d:%s," % (len(body), body)
@@ -36,10 +35,10 @@
     def __init__(self) -> None:
         self.buffer = b""
 
-    def feed(self, data: bytes) -> list[dict[str, Any]] | Failure:
+    def feed(self, data: bytes) -> list[Fields] | Failure:
         """Complete messages, in order; a failure if the bytes cannot be messages: the connection is lost."""
         self.buffer = self.buffer + data if self.buffer else data
-        messages: list[dict[str, Any]] = []
+        messages: list[Fields] = []
         at, buffer = 0, self.buffer
         while (colon := buffer.find(b":", at, at + MAX_LENGTH_DIGITS)) >= 0:
             if not buffer[at:colon].isdigit() or (size := int(buffer[at:colon])) > MAX_MESSAGE_BYTES:
@@ -61,7 +60,7 @@
         return messages
 
 
-def _parse(body: bytes) -> dict[str, Any] | Failure:
+def _parse(body: bytes) -> Fields | Failure:
     try:
         if body[:1] == b"x":
             decompressor = zlib.decompressobj()
--- a/foxspread/mesh/transport/peer_connection.py
+++ b/foxspread/mesh/transport/peer_connection.py
@@ -52,11 +52,13 @@
         self.close_reason = "closed"
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Of `asyncio.Protocol`."""
         self.transport, self.state = transport, ConnectionState.OPEN
         self.last_received_at = self.clock()
         self.on_open(self)
 
     def data_received(self, data: bytes) -> None:
+        """Of `asyncio.Protocol`. Bytes that are no message close the connection."""
         self.last_received_at = self.clock()
         messages = self.decoder.feed(data)
         if isinstance(messages, Failure):
@@ -68,6 +70,7 @@
                 self.on_message(self, fields)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Of `asyncio.Protocol`."""
         if self.transport is not None:
             self.transport, self.state = None, ConnectionState.CLOSED
             self.on_close(self)
