--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -52,6 +52,7 @@
 RELOAD_TICKS = 20  # the settings file may change without a signal
 COUNTS_TICKS = 100  # how often refusals are logged, where there are any
 DRAIN_POLL_S = 0.01
+DISK_IDENTITY_BYTES = 8
 
 
 def boot_clock() -> float:
@@ -201,6 +202,7 @@
             server,
             QuorumContact(self.member, int.from_bytes(os.urandom(4), "big")),
             Reconfiguration(self.member, self.incarnation, self.chance.draw),
+            lambda: os.urandom(DISK_IDENTITY_BYTES).hex(),
         )
         self.sync.replica = contact
         server.reachable_replicas = lambda: self.links.replicas
--- a/foxspread/mesh/replica_contact.py
+++ b/foxspread/mesh/replica_contact.py
@@ -4,8 +4,8 @@
 membership be changed where a member is gone. A core: messages to send are returned.
 """
 
-import os
 from collections.abc import Callable
+from typing import Protocol
 
 from foxspread.mesh.replication.cluster_view import ClusterView
 from foxspread.mesh.replication.messages import (
@@ -18,30 +18,38 @@
 )
 from foxspread.mesh.replication.quorum_contact import DiskHistory, QuorumContact
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
-from foxspread.mesh.replication.replica_server import ReplicaServer
-from foxspread.mesh.settings import Settings
+from foxspread.mesh.replication.replica import Replica
 from foxspread.mesh.transport.messages import Fields, kind_of
 
-DISK_IDENTITY_BYTES = 8
+
+class ContactSettings(Protocol):
+    """The settings that matter to contact and membership."""
+
+    zone: str
+    tolerate: int  # machines that may be lost at once
+    tolerate_zones: int
 
 
 class ReplicaContact:
-    """The `LocalReplica` that `StateSync` asks, around the replica's server.
+    """The `LocalReplica` that `StateSync` asks, around the replica itself.
 
-    `settings` returns those in force; `is_leaving` whether the process is shutting down.
+    `settings` returns those in force; `is_leaving` whether the process is shutting down; `new_identity` a
+    random identity for a disk that proved outdated.
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
-        settings: Callable[[], Settings],
+        settings: Callable[[], ContactSettings],
         is_leaving: Callable[[], bool],
-        server: ReplicaServer,
+        replica: Replica,
         quorum_contact: QuorumContact,
         reconfiguration: Reconfiguration,
+        new_identity: Callable[[], str],
     ) -> None:
         self.clock, self.settings, self.is_leaving = clock, settings, is_leaving
-        self.server, self.quorum_contact, self.reconfiguration = server, quorum_contact, reconfiguration
+        self.replica, self.quorum_contact, self.reconfiguration = replica, quorum_contact, reconfiguration
+        self.new_identity = new_identity
         self.disk_history = DiskHistory()
         self.announced = False  # whether peers were last told that there is contact
 
@@ -50,19 +58,19 @@
     @property
     def recovered(self) -> bool:
         """The disk has been read."""
-        return self.server.acceptor is not None
+        return self.replica.acceptor is not None
 
     @property
     def fresh(self) -> bool:
         """Since its start the replica has learnt all that was committed before."""
-        return self.server.fresh
+        return self.replica.fresh
 
     def in_contact(self) -> bool:
         """Whether this replica, now, can have missed no more than a moment of commits."""
-        acceptor = self.server.acceptor
+        acceptor = self.replica.acceptor
         if acceptor is None or not acceptor.members_known:
             return False  # an empty disk: the members are known from the seeds only
-        self.quorum_contact.update(self.server.members, acceptor.learner.committed_number)
+        self.quorum_contact.update(self.replica.acceptor.members, acceptor.learner.committed_number)
         return self.quorum_contact.is_current(self.clock())
 
     def age(self) -> float | None:
@@ -71,23 +79,23 @@
 
     def learn(self, committed_number: tuple[int, str], rows: list, complete_set: bool) -> None:
         """Rows of the committed set have come from a peer."""
-        self.server.learn(committed_number, rows, complete_set)
+        self.replica.learn(committed_number, rows, complete_set)
 
     def on_peer_committed(self, committed_number: tuple[int, str]) -> None:
         """A peer has committed that proposal."""
-        self.server.on_peer_committed(committed_number)
+        self.replica.on_peer_committed(committed_number)
 
     # Rounds.
 
     def replica_connected(self, now: float, member: str) -> None:
         """The next round begins at the next tick, and what was not answered is sent again."""
         self.quorum_contact.next_request_at = now
-        self.server.on_connected(member)
+        self.replica.on_connected(member)
 
     def request(self, now: float) -> ContactRequest | None:
         """What to ask all connected replicas; None before its time."""
-        server, acceptor = self.server, self.server.acceptor
-        disk = DiskState(server.incarnation, acceptor.disk, acceptor.start_count, server.durable_promise)
+        replica, acceptor = self.replica, self.replica.acceptor
+        disk = DiskState(replica.incarnation, acceptor.disk, acceptor.start_count, replica.durable_promise)
         return self.quorum_contact.request(now, self.report(), disk)
 
     def handle(self, sender: str, fields: Fields) -> ContactReply | None:
@@ -98,7 +106,7 @@
         if kind == ContactReply.kind:
             self._on_reply(sender, decode(fields))
         else:
-            self.server.receive(sender, fields)
+            self.replica.receive(sender, fields)
         return None
 
     def _answer(self, sender: str, request: ContactRequest) -> ContactReply:
@@ -108,8 +116,8 @@
         return QuorumContact.reply(request, self.report(), rolled_back)
 
     def _on_reply(self, sender: str, reply: ContactReply) -> None:
-        if reply.rolled_back_incarnation == self.server.incarnation:
-            self.server.on_rolled_back(os.urandom(DISK_IDENTITY_BYTES).hex())
+        if reply.rolled_back_incarnation == self.replica.incarnation:
+            self.replica.on_rolled_back(self.new_identity())
         self.quorum_contact.receive(self.clock(), sender, reply)
 
     def take_change(self) -> bool | None:
@@ -122,8 +130,18 @@
 
     def report(self) -> Report:
         """What this replica says of itself."""
-        return self.server.own_report(
-            self.settings().zone, self.is_leaving(), self.quorum_contact.hears(self.clock())
+        acceptor = self.replica.acceptor
+        committed_number = acceptor.learner.committed_number
+        return Report(
+            acceptor.me,
+            acceptor.serves,
+            acceptor.members.epoch,
+            committed_number,
+            max(acceptor.accepted, committed_number),
+            self.settings().zone,
+            self.is_leaving(),
+            self.quorum_contact.hears(self.clock()),
+            acceptor.disk,
         )
 
     # Membership.
@@ -134,8 +152,8 @@
         return ClusterView.of(
             self.clock(),
             self.report(),
-            self.server.members,
-            self.server.acceptor.learner,
+            self.replica.acceptor.members,
+            self.replica.acceptor.learner,
             self.quorum_contact.reports,
             self.quorum_contact.staleness_s(self.clock()),
             self.settings().tolerate,
@@ -144,7 +162,7 @@
 
     def reconfigure(self) -> None:
         """Has the membership changed where that is due."""
-        self.reconfiguration.act(self.clock, self.cluster_view(), self.server.call)
+        self.reconfiguration.act(self.clock, self.cluster_view(), self.replica.call)
 
     def may_leave_membership(self, now: float) -> bool:
         """Whether this process may end: the members do without it, or it holds nothing yet."""
--- a/foxspread/mesh/replication/replica_server.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -5,7 +5,7 @@
 
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.replication.membership import MemberSet
-from foxspread.mesh.replication.messages import Fields, Report
+from foxspread.mesh.replication.messages import Fields
 from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
 from foxspread.mesh.replication.storage import Storage
 
@@ -34,21 +34,6 @@
         """The members, as committed here."""
         return self.acceptor.members
 
-    def own_report(self, zone: str, leaving: bool, hears: tuple[str, ...]) -> Report:
-        """What this replica says of itself to others; `hears`: the replicas heard of late."""
-        acceptor = self.acceptor
-        return Report(
-            acceptor.me,
-            acceptor.serves,
-            self.members.epoch,
-            acceptor.learner.committed_number,
-            max(acceptor.accepted, acceptor.learner.committed_number),
-            zone,
-            leaving,
-            hears,
-            acceptor.disk,
-        )
-
     def submit(self, items: list[Item]) -> asyncio.Future:
         """Resolves to True, or to a `Failure`; without items it is a read."""
         future = asyncio.get_running_loop().create_future()
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -17,17 +17,16 @@
     Learner,
     SnapshotChunk,
     Offset,
-    ProposalNumber,
 )
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
-from foxspread.mesh.replication.cluster_view import ClusterView
-from foxspread.mesh.replication.messages import ContactReply, ContactRequest, Report, decode
+from foxspread.mesh.replication.messages import ContactReply
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
 from foxspread.mesh.simulation.invariants import shown
 from foxspread.mesh.registry.own_record import OwnRecord
+from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
 from foxspread.sums import Chance
@@ -56,6 +55,15 @@
     reconfiguration: type[Reconfiguration] = Reconfiguration
 
 
+@dataclass(frozen=True)
+class SimSettings:
+    """The `ContactSettings` of a machine: each is a zone by itself."""
+
+    zone: str
+    tolerate: int
+    tolerate_zones: int = 0
+
+
 class Party:
     """One process that holds a copy: the core that a node runs too, in virtual time."""
 
@@ -255,10 +263,16 @@
         )
         self.core.proposer_class = fleet.cores.proposer
         self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
-        self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
-        self.reconfiguration = fleet.cores.reconfiguration(self.name, self.named, draw)
-        self.in_quorum_contact = False
-        self.sync.replica = self
+        self.contact = ReplicaContact(
+            self.clock,
+            lambda: SimSettings(self.name, fleet.plan.tolerate),
+            lambda: self.leaving,
+            self.core,
+            fleet.cores.quorum_contact(self.name, int(draw() * 2**30)),
+            fleet.cores.reconfiguration(self.name, self.named, draw),
+            lambda: f"{self.named} anew",
+        )
+        self.sync.replica = self.contact
         self.core.begin(acceptor)
 
     def kill(self) -> None:
@@ -280,7 +294,7 @@
             self.fleet.judge.over(self.wiped)
             self.wiped = None
         now = self.clock()
-        if (request := self.quorum_contact.request(now, self._report())) is not None:
+        if (request := self.contact.request(now)) is not None:
             for each in self.fleet.machines:
                 if each is not self:
                     self._send(each.name, request.packed())
@@ -291,86 +305,27 @@
             self._replace(now)
         super()._tick()
 
-    # Whether it may speak.
+    # Contact with a quorum.
 
     @property
     def ready(self) -> bool:
+        """Whether a node would serve here."""
         return self.sync.ready()
 
-    def in_contact(self) -> bool:
-        if self.core is None or self.core.acceptor is None:
-            return False
-        self.quorum_contact.update(self.core.acceptor.members, self.learner.committed_number)
-        return self.quorum_contact.is_current(self.clock())
-
-    def _report(self) -> Report:
-        acceptor = self.core.acceptor
-        return Report(
-            self.name,
-            acceptor.serves,
-            acceptor.epoch,
-            acceptor.learner.committed_number,
-            max(acceptor.accepted, acceptor.learner.committed_number),
-            self.name,
-            self.leaving,
-            self.quorum_contact.hears(self.clock()),
-            acceptor.disk,
-        )
-
     def _announce_contact(self) -> None:
-        if (current := self.in_contact()) != self.in_quorum_contact:
-            self.in_quorum_contact = current
-            if current:
-                self.sync.announce_committed_set()
-
-    def learn(self, committed_number: ProposalNumber, rows: list, complete_set: bool) -> None:
-        """Of `LocalReplica`."""
-        self.core.learn(committed_number, rows, complete_set)
-
-    def on_peer_committed(self, committed_number: ProposalNumber) -> None:
-        """Of `LocalReplica`."""
-        self.core.on_peer_committed(committed_number)
-
-    @property
-    def recovered(self) -> bool:
-        """Of `LocalReplica`: a machine start_history with its disk read."""
-        return True
-
-    @property
-    def fresh(self) -> bool:
-        """Of `LocalReplica`."""
-        return self.core.fresh
-
-    def age(self) -> float | None:
-        """Of `LocalReplica`."""
-        return self.quorum_contact.staleness_s(self.clock())
-
-    # Who the members are.
-
-    def _view(self, now: float) -> ClusterView:
-        acceptor = self.core.acceptor
-        self.quorum_contact.update(acceptor.members, self.learner.committed_number)
-        return ClusterView.of(
-            now,
-            self._report(),
-            acceptor.members,
-            self.learner,
-            self.quorum_contact.reports,
-            self.quorum_contact.staleness_s(now),
-            self.fleet.plan.tolerate,
-            0,
-        )
+        if self.contact.take_change():
+            self.sync.announce_committed_set()
 
     def _replace(self, now: float) -> None:
-        view = self._view(now)
-        if self.leaving and self.reconfiguration.may_leave(now, view):
+        view = self.contact.cluster_view()
+        if self.leaving and self.contact.reconfiguration.may_leave(now, view):
             return self.fleet.faults.has_left(self)
-        if (items := self.reconfiguration.step(now, view)) is None:
+        if (items := self.contact.reconfiguration.step(now, view)) is None:
             return
 
         def told(outcome: bool | Failure) -> None:
             self.fleet.judge.acted(self.named, items, outcome)
-            self.reconfiguration.on_outcome(self.clock(), outcome)
+            self.contact.reconfiguration.on_outcome(self.clock(), outcome)
 
         self.core.call(items, told)
 
@@ -381,19 +336,16 @@
         if kind == Hello.kind or kind in self.sync.handlers:
             super().heard(sender, message)
             if kind == Hello.kind and isinstance(self.fleet.parties[sender], Machine):
-                self.quorum_contact.next_request_at = self.clock()
-                self.core.on_connected(sender)
-        elif kind == ContactRequest.kind:
-            self._send(sender, self.quorum_contact.reply(decode(message), self._report()).packed())
-        elif kind == ContactReply.kind:
-            self.quorum_contact.receive(self.clock(), sender, decode(message))
-            self._announce_contact()
+                self.contact.replica_connected(self.clock(), sender)
         else:
-            self.core.receive(sender, message)
+            if (answer := self.contact.handle(sender, message)) is not None:
+                self._send(sender, answer.packed())
+            if kind == ContactReply.kind:
+                self._announce_contact()
 
     def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
-        timeout_s = CALL_TIMEOUT_S if self.in_contact() else CUT_OFF_S
+        timeout_s = CALL_TIMEOUT_S if self.contact.in_contact() else CUT_OFF_S
         self.core.call(list(items), lambda outcome: tell(outcome, self.theirs()), timeout_s)
 
     def theirs(self) -> dict[Key, Item]:
--- a/tests/mesh/test_replica_contact.py
+++ b/tests/mesh/test_replica_contact.py
@@ -24,13 +24,20 @@
         self.now, self.heard, self.rolled_back = 1000.0, [], []
         learner = Learner()
         learner.committed_number = NUMBER
-        self.server = SimpleNamespace(
-            acceptor=SimpleNamespace(members_known=True, learner=learner, disk=(1, "d"), start_count=3),
-            members=MEMBERS,
+        self.replica = SimpleNamespace(
+            acceptor=SimpleNamespace(
+                me="m1",
+                members=MEMBERS,
+                members_known=True,
+                serves=True,
+                accepted=NUMBER,
+                learner=learner,
+                disk=(1, "d"),
+                start_count=3,
+            ),
             fresh=True,
             incarnation="own",
             durable_promise=(2, "l"),
-            own_report=lambda zone, leaving, hears: reported("m1"),
             receive=lambda sender, fields: self.heard.append((sender, fields)),
             on_rolled_back=self.rolled_back.append,
             on_connected=lambda member: None,
@@ -40,9 +47,10 @@
             lambda: self.now,
             lambda: SimpleNamespace(zone="z", tolerate=1, tolerate_zones=0),
             lambda: False,
-            self.server,
+            self.replica,
             QuorumContact("m1"),
             self.reconfiguration,
+            lambda: "new",
         )
 
     def round(self, *members: str) -> None:
@@ -86,7 +94,7 @@
 
     def test_an_empty_disk_has_no_contact_whatever_is_answered(self) -> None:
         process = Process()
-        process.server.acceptor.members_known = False
+        process.replica.acceptor.members_known = False
         process.round("m2", "m3")
         self.assertFalse(process.contact.in_contact())
 
@@ -106,12 +114,11 @@
         process.contact.handle("m2", {**answer, "older": "another"})
         self.assertEqual([], process.rolled_back)
         process.contact.handle("m2", {**answer, "older": "own"})
-        self.assertEqual(1, len(process.rolled_back))
-        self.assertEqual(16, len(process.rolled_back[0]))
+        self.assertEqual(["new"], process.rolled_back)
 
     def test_before_the_disk_is_read_nothing_is_answered(self) -> None:
         process = Process()
-        process.server.acceptor = None
+        process.replica.acceptor = None
         self.assertIsNone(process.contact.handle("m2", self.request))
         self.assertFalse(process.contact.in_contact())
 
@@ -131,5 +138,5 @@
         view = process.reconfiguration.may_leave.call_args.args[1]
         self.assertEqual(("m1", MEMBERS, NUMBER), (view.me, view.members, view.committed_number))
         process.reconfiguration.may_leave.return_value = False
-        process.server.acceptor = None
+        process.replica.acceptor = None
         self.assertTrue(process.contact.may_leave_membership(process.now))
--- a/tests/mesh/test_state_sync.py
+++ b/tests/mesh/test_state_sync.py
@@ -53,10 +53,10 @@
         process = Process("core", replicas=("k2",))
         sync = process.sync
         members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
-        acceptor = SimpleNamespace(members_known=True, learner=sync.learner)
-        server = SimpleNamespace(acceptor=acceptor, members=members, fresh=True)
+        acceptor = SimpleNamespace(members_known=True, learner=sync.learner, members=members)
+        server = SimpleNamespace(acceptor=acceptor, fresh=True)
         quorum_contact = QuorumContact(members.of[0])
-        sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None)
+        sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None, None)
         past = (0, ((1, "d"),))
         rows = [Item(SERVICE, "s", 2, {"name": "s"}, past), Item(LEASE, MEMBERS, 1, {"holder": "m2"})]
         sync.learner.fold((4, "l"), [(each, (4, "l")) for each in rows])
