--- a/foxspread/mesh/configuration/retention.py
+++ b/foxspread/mesh/configuration/retention.py
@@ -22,7 +22,7 @@
 from foxspread.mesh.errors import Failure, OutcomeUnknown
 
 MAX_REFUSALS = 4096  # changes known as refused; with more, the next refusal gets no clear answer
-REFUSALS_WORTH_COLLECTING = MAX_REFUSALS // 8
+REFUSALS_BEFORE_COLLECTION = MAX_REFUSALS // 8
 REFUSAL_RETENTION_S = 3600.0  # by the agreed clock: longer than any copy of a change may be under way
 MAX_REASON_CHARACTERS = 200  # of a refusal's reason that are stored
 MAX_TOMBSTONES = 20_000
@@ -65,11 +65,11 @@
     content = [failure.status, failure.reason[:MAX_REASON_CHARACTERS], round(agreed_clock, 3)]
     items = {(REFUSED, digest): Item(REFUSED, digest, 1, content)}
     refused_at = [Refusal.of(item).refused_at for item in current.values() if item.kind == REFUSED]
-    oldest_kept = agreed_clock - REFUSAL_RETENTION_S
-    if len(refused_at) >= REFUSALS_WORTH_COLLECTING and min(refused_at) < oldest_kept:
+    retained_since = agreed_clock - REFUSAL_RETENTION_S
+    if len(refused_at) >= REFUSALS_BEFORE_COLLECTION and min(refused_at) < retained_since:
         key = COMPACTION, REFUSALS
-        items[key] = Item(*key, _next_version(current, key), {REFUSED_BEFORE: round(oldest_kept, 3)})
-        refused_at = [at for at in refused_at if at >= oldest_kept]
+        items[key] = Item(*key, _next_version(current, key), {REFUSED_BEFORE: round(retained_since, 3)})
+        refused_at = [at for at in refused_at if at >= retained_since]
     if len(refused_at) >= MAX_REFUSALS:
         return OutcomeUnknown("too many orders were refused within the last hour to remember another")
     return items
--- a/foxspread/mesh/configuration/routes.py
+++ b/foxspread/mesh/configuration/routes.py
@@ -32,10 +32,10 @@
 
     name: str
     version: int
-    safe: bool  # idempotent: a request may run more than once
-    aim: float  # latency target, seconds: an answer within it earns its full value
-    deadline: float  # seconds, for which a request may be held at the longest
-    attempts: int  # servers that one attempt may be sent to
+    idempotent: bool  # a request may run more than once
+    latency_target_s: float  # an answer within it earns its full value
+    deadline_s: float  # for which a request may be held at the longest
+    max_attempts: int  # servers that one request may reach
     priority: int  # 0 is the highest
     services: tuple[tuple[str, float], ...]  # with the cumulative share of the requests, up to 1
 
@@ -54,10 +54,10 @@
     return Route(
         name=item.name,
         version=item.version,
-        safe=rule[IDEMPOTENCE] == IDEMPOTENT,
-        aim=float(rule.get(TARGET_S) or forwarding[DEADLINE_S]),
-        deadline=float(forwarding[DEADLINE_S]),
-        attempts=int(forwarding[MAX_ATTEMPTS]),
+        idempotent=rule[IDEMPOTENCE] == IDEMPOTENT,
+        latency_target_s=float(rule.get(TARGET_S) or forwarding[DEADLINE_S]),
+        deadline_s=float(forwarding[DEADLINE_S]),
+        max_attempts=int(forwarding[MAX_ATTEMPTS]),
         priority=int(rule.get(PRIORITY, DEFAULT_PRIORITY)),
         services=_cumulative_shares(weighted_services(item.content)),
     )
--- a/foxspread/mesh/configuration/validation.py
+++ b/foxspread/mesh/configuration/validation.py
@@ -57,7 +57,7 @@
 MAX_TARGET_OVER_DEADLINE_S = 60.0  # a latency target lies less than this over the deadline
 VERSION_FORM = re.compile(r"r([0-9]{1,15})")  # below 2^53, so exact in JSON
 MAX_NAME_CHARACTERS = 500
-MAX_GATE_CHARACTERS = 80  # of a malformed object that a reason quotes
+MAX_QUOTED_CHARACTERS = 80  # of a malformed object that a reason quotes
 MAX_JSON_DEPTH = 254  # levels that orjson writes; it reads more
 RESERVED_DEPTH = 54  # of them, for the messages and rows in which an item is sent on
 ITEMS_BETWEEN_PAUSES = 8  # after so many, other work may go first
@@ -199,20 +199,20 @@
         yield _validated(_LIMITS, LIMITS_KEY, limits, lambda row: _item(LIMITS, LIMITS, row, row))
     for service in services:
         yield _validated(_SERVICE, SERVICES, service, lambda row: _item(SERVICE, row[NAME], row, row))
-    for gate in gates:
-        yield from _parse_gate(gate)
+    for each in gates:
+        yield from _parse_host(each)
     for part, kind in KIND_OF_DROPPED.items():
         yield from _parse_dropped(to_drop, part, kind)
 
 
-def _parse_gate(gate: Any) -> Iterator[Step]:
+def _parse_host(data: Any) -> Iterator[Step]:
     """The routes of one host."""
-    host = gate.get(HOST) if isinstance(gate, dict) else None
-    if not isinstance(host, str) or not host or not isinstance(gate.get(RULES, []), list):
-        text = str(gate)[:MAX_GATE_CHARACTERS]
+    host = data.get(HOST) if isinstance(data, dict) else None
+    if not isinstance(host, str) or not host or not isinstance(data.get(RULES, []), list):
+        text = str(data)[:MAX_QUOTED_CHARACTERS]
         yield InvalidRequest(f"gates: {text}: wants a destination and a list of regulations")
         return
-    for rule in gate.get(RULES, []):
+    for rule in data.get(RULES, []):
         yield _validated(_RULE, f"{GATES}.{host}", rule, lambda row: _parse_rule(host, row))
 
 
@@ -237,7 +237,7 @@
 def _validated(validator: Validator, where: str, row: Any, parse: Callable[[dict], Step]) -> Step:
     """The item that `parse` makes of a row, or what its schema says against it."""
     if not isinstance(row, dict):
-        return InvalidRequest(f"{where}: {str(row)[:MAX_GATE_CHARACTERS]}: must be an object")
+        return InvalidRequest(f"{where}: {str(row)[:MAX_QUOTED_CHARACTERS]}: must be an object")
     if not validator.validate(row, normalize=False):
         return InvalidRequest(f"{where} {row.get(NAME, '')}: {describe_errors(validator.errors, row)}")
     return parse(row)
--- a/foxspread/mesh/dataplane/caller.py
+++ b/foxspread/mesh/dataplane/caller.py
@@ -28,7 +28,9 @@
     def __init__(self, desk: "CallerDesk", exchange: Exchange, errand: Errand) -> None:
         self.desk, self.exchange, self.errand = desk, exchange, errand
         self.lines = heads.kept(exchange.message)
-        self.terms = Terms(errand.route.aim, max(0, errand.route.priority), errand.route.safe)
+        self.terms = Terms(
+            errand.route.latency_target_s, max(0, errand.route.priority), errand.route.idempotent
+        )
         self.legs: list[Lane | Handing | asyncio.Task | None] = []  # by try: what carries it
         self.timers: list[asyncio.TimerHandle] = []  # each holds the request until it fires
         self._watch(max(0.0, errand.until - errand.begun), self.late)
@@ -60,8 +62,8 @@
         number, message, route = send.number, self.exchange.message, errand.route
         while len(self.legs) <= number:
             self.legs.append(None)
-        if route.safe:
-            wait = max(errand.health.overdue(desk.clock()), 0.5 * route.aim)
+        if route.idempotent:
+            wait = max(errand.health.overdue(desk.clock()), 0.5 * route.latency_target_s)
             if wait < left:
                 self._watch(wait, self.overdue, number)
         if upstream.node == desk.node:
@@ -74,7 +76,7 @@
                 message, self.lines, upstream.id, desk.caller, left, terms, told
             )
             return None
-        lane = desk.lanes.reuse(upstream.place, None if route.safe else FRESH_S)
+        lane = desk.lanes.reuse(upstream.place, None if route.idempotent else FRESH_S)
         if lane is not None:
             self._ask(send, lane)
         else:
@@ -236,7 +238,7 @@
             return exchange.answer(503, b"no configuration yet\n", [b"Retry-After: 0.3\r\n"])
         now = self.clock()
         again = self.hop.core.runs.part(message.header(b"x-request-id") or b"")
-        waited = self.waited(message, route.safe)
+        waited = self.waited(message, route.idempotent)
         errand = self.steering.begin(now, route, heads.deadline(message), waited, again)
         job = Job(self, exchange, errand)
         exchange.left = job.left
--- a/foxspread/mesh/dataplane/errand.py
+++ b/foxspread/mesh/dataplane/errand.py
@@ -124,15 +124,20 @@
         service = route.service(draw)
         key = route.name, service
         health = self.healths.get(key)
-        if health is None or health.category.expected_time != route.aim:
+        if health is None or health.category.expected_time != route.latency_target_s:
             health = self.healths[key] = Health(
-                now, self.upstreams.service(service), self.zone, self.chance, route.aim, route.deadline
+                now,
+                self.upstreams.service(service),
+                self.zone,
+                self.chance,
+                route.latency_target_s,
+                route.deadline_s,
             )
         if again < 1.0:
             self.budget(service).request(now)
         if again > 0.0:  # it will arrive, and beyond the first of what its parent's client asked for
             self.budget(service).spend(now, again)
-        wait = (route.deadline if left is None else min(left, route.deadline)) - waited
+        wait = (route.deadline_s if left is None else min(left, route.deadline_s)) - waited
         return Errand(route, service, health, now, now + max(0.0, wait - MARGIN_S), draw, again=again >= 1.0)
 
     def forget(self, keep: Callable[[str], bool]) -> None:
@@ -151,14 +156,14 @@
             return None
         route = errand.route
         ran = errand.may_have_run()
-        if now >= errand.until or ran and not route.safe:
+        if now >= errand.until or ran and not route.idempotent:
             return self._end(now, errand, ran)
         return self._another(now, errand) or self._end(now, errand, ran)
 
     def overdue(self, now: float, errand: Errand, number: int) -> Step:
         """That try is out for long: another one beside it, where the request may run twice and it pays."""
         this = errand.tries[number]
-        if errand.over or this.outcome is not None or not errand.route.safe or len(errand.out()) > 1:
+        if errand.over or this.outcome is not None or not errand.route.idempotent or len(errand.out()) > 1:
             return None
         return self._another(now, errand)
 
@@ -178,7 +183,7 @@
             return
         this.outcome, this.arrived, this.answer = outcome, arrived, answer
         failed = outcome.failure
-        if outcome is Outcome.DONE and now - this.hand_off.sent > errand.route.aim:
+        if outcome is Outcome.DONE and now - this.hand_off.sent > errand.route.latency_target_s:
             failed = True  # most of its worth is gone
         errand.health.ended(now, this.upstream, this.hand_off, outcome, failed)
         if busy is not None:
@@ -195,7 +200,7 @@
     def _another(self, now: float, errand: Errand) -> Send | None:
         tries, route = errand.tries, errand.route
         arrived = sum(each.arrived for each in tries)
-        if arrived >= route.attempts or len(tries) >= TRIES_MOST:
+        if arrived >= route.max_attempts or len(tries) >= TRIES_MOST:
             return None
         usual = errand.health.usual(now)
         if arrived and (
@@ -215,7 +220,7 @@
 
     def _passed(self, errand: Errand, number: int) -> Pass | Refuse:
         """Without X-Not-Run such a status is no promise of the server's: passed on, it would be ours."""
-        if not errand.route.safe and errand.tries[number].answer.status in PROMISES:
+        if not errand.route.idempotent and errand.tries[number].answer.status in PROMISES:
             return Refuse(502, "the server may have run it")
         return Pass(number)
 
--- a/foxspread/mesh/registry/incarnations.py
+++ b/foxspread/mesh/registry/incarnations.py
@@ -128,7 +128,7 @@
             del self.ended_at[id]
         return bool(newly_gone)
 
-    def excuse_silence(self, seconds: float) -> None:
+    def exclude_suspension(self, seconds: float) -> None:
         """This process was suspended for so long: nobody could be heard, so nobody was silent."""
         self.heard_at = {id: at + seconds for id, at in self.heard_at.items()}
 
@@ -139,7 +139,7 @@
             for each in self.by_id.values()
         ]
 
-    slept = excuse_silence  # the former name, until the last caller has gone over
+    slept = exclude_suspension  # the former name, until the last caller has gone over
 
 
 def _published(instance: Instance) -> Instance:
--- a/tests/mesh/configuration/test_routes.py
+++ b/tests/mesh/configuration/test_routes.py
@@ -85,4 +85,4 @@
         # Guards: without a target the deadline is the aim; priority has a middle.
         row = route()
         del row.content["rule"]["target_s"], row.content["rule"]["priority"]
-        self.assertEqual((2.0, 1), (route_of(row).aim, route_of(row).priority))
+        self.assertEqual((2.0, 1), (route_of(row).latency_target_s, route_of(row).priority))
--- a/tests/mesh/dataplane/test_errand.py
+++ b/tests/mesh/dataplane/test_errand.py
@@ -94,7 +94,7 @@
 
     def holds(self, event):
         test, tries = self.test, self.errand.tries
-        test.assertLessEqual(sum(each.arrived for each in tries), self.errand.route.attempts)
+        test.assertLessEqual(sum(each.arrived for each in tries), self.errand.route.max_attempts)
         test.assertLessEqual(len(self.errand.out()), 2 if self.safe else 1)
         flying = sum(each.flying for each in self.upstreams.service("s1").by_id.values())
         test.assertEqual(len(self.errand.out()), flying)
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -82,5 +82,5 @@
     def test_time_of_a_suspension_counts_for_a_drain(self):
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 2)
-        self.instances.excuse_silence(20.0)
+        self.instances.exclude_suspension(20.0)
         self.assertFalse(self.passes(21.5))
--- a/tests/mesh/registry/test_incarnations.py
+++ b/tests/mesh/registry/test_incarnations.py
@@ -79,7 +79,7 @@
         self.assertTrue(instances.sweep(MISSED_HEARTBEATS + 0.1))
         self.assertEqual([GONE, False], [state(instances), instances.sweep(MISSED_HEARTBEATS + 0.2)])
         self.assertTrue(beat(instances, 3.0, "i", BEAT | {"sequence": 2}))
-        instances.excuse_silence(20.0)
+        instances.exclude_suspension(20.0)
         self.assertFalse(instances.sweep(23.0))
         beat(instances, 23.0, "i", BEAT | {"sequence": 3, "state": DRAINING})
         instances.sweep(30.0)
