--- a/tests/mesh/configuration/test_idempotency.py
+++ b/tests/mesh/configuration/test_idempotency.py
@@ -34,7 +34,7 @@
 
 class VersionsTest(testtools.TestCase):
     def test_only_one_content_of_a_version_is_ever_confirmed(self):
-        # Guards: r5 X is confirmed, then r6, then another's r5 Y was confirmed too.
+        # R5 X is confirmed, then r6, then another's r5 Y was confirmed too.
         newer = [service(version=6), Item(SERVICE, "v", 7, None), service(version=9, tag=4)]
         for count in range(len(newer) + 1):
             for first, second in permutations((V1, V2)):
@@ -91,7 +91,7 @@
         self.assertEqual([200] * 4, statuses)
 
     def test_no_number_is_too_large_for_a_digest(self):
-        # Guards: a whole number beyond 64 bits, which JSON gives as a float: no digest could be made of it.
+        # A whole number beyond 64 bits, which JSON gives as a float: no digest could be made of it.
         for large in (1e40, -1e300, 2.0**53, 2.0**63, 10**18, 0.1):
             agreed = AgreedItems()
             one = Item(SERVICE, "v", 5, {"name": "v", "tag": large})
@@ -110,7 +110,7 @@
     late = route("r", "/r/", "w")
 
     def test_a_refused_change_never_comes_into_force(self):
-        # Guards: a copy that a frozen machine reads late, when it has become valid.
+        # A copy that a frozen machine reads late, when it has become valid.
         agreed = AgreedItems(service())
         self.assertEqual(400, agreed.status_of(self.late))
         self.assertEqual(200, agreed.status_of(service("w")))
@@ -132,7 +132,7 @@
 
 class CompareAndSetTest(testtools.TestCase):
     def test_members_and_leases_follow_the_current_version(self):
-        # Guards: two that change from the same set, or act on the same lease, at once.
+        # Two that change from the same set, or act on the same lease, at once.
         for kind in (MEMBERS, LEASE):
             one, other = (Item(kind, "members", 1, {"of": [name]}) for name in "ab")
             agreed = AgreedItems()
--- a/tests/mesh/configuration/test_routes.py
+++ b/tests/mesh/configuration/test_routes.py
@@ -21,7 +21,7 @@
         return there and there.name
 
     def test_a_request_takes_the_longest_prefix_of_its_host(self):
-        # Guards: by whole parts of the path; host with port, in capitals, and none of another host's routes.
+        # By whole parts of the path; host with port, in capitals, and none of another host's routes.
         for host, path, expected in (
             ("h.example", "/a/b/x", "ab"),
             ("h.example", "/a/b/", "ab"),
@@ -45,7 +45,7 @@
             self.assertEqual(expected, self.route_name(host, path), (host, path))
 
     def test_a_changed_route_leaves_its_former_prefix(self):
-        # Guards: a route that moves leaves its old place; two that swap places, in any order, lose none; one
+        # A route that moves leaves its old place; two that swap places, in any order, lose none; one
         # that is dropped after another has taken its place leaves that alone.
         self.table.put(route(name="ab", postcode="/moved/", version="r2"))
         self.assertEqual(["a", "ab"], [self.route_name("h.example", p) for p in ("/a/b/x", "/moved/x")])
@@ -63,7 +63,7 @@
         self.assertEqual([{}, {}], [self.table.by_host, self.table.matches])
 
     def test_services_share_the_requests_by_weight(self):
-        # Guards: shares as the weights say, a weight of nought gets none, and every draw finds a service.
+        # Shares as the weights say, a weight of nought gets none, and every draw finds a service.
         weights = {"s0": 90, "s1": 0, "s2": 10, "s3": 0.5}
         rows = [{"service": name, "weight": weight} for name, weight in weights.items()]
         split = route_of(route(dispatch={"consignments": rows, "deadline_s": 2, "delivery_attempts": 2}))
@@ -76,13 +76,13 @@
         self.assertEqual(0, drawn["s1"])
 
     def test_the_highest_draw_finds_a_service_with_weight(self):
-        # Guards: shares that do not sum up to one for sure leave nothing to a service without weight.
+        # Shares that do not sum up to one for sure leave nothing to a service without weight.
         rows = [{"service": f"s{n}", "weight": int(n < 10)} for n in range(11)]
         split = route_of(route(dispatch={"consignments": rows, "deadline_s": 2, "delivery_attempts": 2}))
         self.assertEqual("s9", split.service(1 - 2**-53))
 
     def test_target_and_priority_have_defaults(self):
-        # Guards: without a target the deadline is the aim; priority has a middle.
+        # Without a target the deadline is the aim; priority has a middle.
         row = route()
         del row.content["rule"]["target_s"], row.content["rule"]["priority"]
         self.assertEqual((2.0, 1), (route_of(row).latency_target_s, route_of(row).priority))
--- /dev/null
+++ b/tests/mesh/control_api/test_configuration.py
@@ -0,0 +1,79 @@
+"""Changes of the configuration over the control API: each gets one answer."""
+
+import json
+
+import orjson
+
+from foxspread.mesh.control_api.configuration import ConfigurationResource
+from foxspread.mesh.control_api.handlers import MAX_CALL_BYTES
+from foxspread.mesh.errors import Conflict, OutcomeUnknown
+from tests.mesh.control_api.support import CALL, ControlApiTestCase, FakeReplica
+from tests.mesh.helpers import header, rule
+
+
+class ConfigurationResourceTest(ControlApiTestCase):
+    def test_a_change_is_answered_with_its_outcome(self) -> None:
+        # Nothing invalid reaches the disk; the outcome goes back as it is; one without a disk reads
+        # nothing and names another, with the whole path.
+        for outcome, expected in ((True, 200), (Conflict("no"), 409), (OutcomeUnknown("later"), 503)):
+            replica_server = FakeReplica(self.loop, outcome)
+            self.api.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
+            self.assertEqual([expected], self.call(b"/api/Config.Patch", CALL))
+            self.assertEqual(["s1", "r1"], [item.name for item in replica_server.got[0]])
+            self.assertEqual([400], self.call(b"/api/Config.Patch", orjson.dumps(CALL)[:-1]))
+            self.assertEqual(1, len(replica_server.got))
+        for address, expected in (("10.0.0.4:8080", 307), (None, 503)):
+            self.api.resources["Config"] = ConfigurationResource(None, lambda address=address: address)
+            self.assertEqual([expected], self.call(b"/api/Config.Patch", CALL))
+            location = address and b"http://10.0.0.4:8080/api/Config.Patch"
+            self.assertEqual(location, header(self.written, b"location"))
+            self.assertEqual([expected], self.call(b"/api/Config.Get", method=b"GET"))
+            self.assertEqual([expected], self.call(b"/api/Config.Patch", b"{"))
+
+    def test_changes_that_are_too_large_or_malformed_are_refused(self) -> None:
+        # Each gets a clear refusal, nothing of it is submitted, and none is read whole that is too
+        # large: by its length, and by what comes of one without a length.
+        replica_server = FakeReplica(self.loop, True)
+        self.api.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
+        for size in (MAX_CALL_BYTES + 1, 64 * 1024 * 1024):
+            head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % size
+            self.assertEqual([413], self.send(head + b" " * 1000))
+        chunk = b"%x\r\n%b\r\n" % (1 << 20, b" " * (1 << 20))
+        head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+        self.assertEqual([413], self.send(head + 5 * chunk))
+        head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: 500\r\n\r\n"
+        self.assertEqual([], self.send(head + orjson.dumps(CALL)[:100]))  # cut off, and the peer is gone
+        for change in (
+            {"name": "n" * 65536},
+            {"edition": "r" + "9" * 16},
+            {"priority": 10**30},
+            {"target_s": 10**300},
+            {"edition": 7},
+        ):
+            call = {"lodge": {"fleets": [{"name": "s1", "edition": "r1"}],
+                              "gates": [{"destination": "h", "regulations": [rule() | change]}]}}  # fmt: skip
+            body = json.dumps(call).encode()
+            self.assertEqual([400], self.call(b"/api/Config.Patch", body), change)
+        endless = b'{"lodge":{"limits":{"edition":"r1","idle_s":1e999}}}'
+        for body in (b"[" * 100_000, b'{"lodge":' * 5000, endless):
+            self.assertEqual([400], self.call(b"/api/Config.Patch", body), body[:20])
+        self.assertEqual([], replica_server.got)
+
+    def test_a_suspended_process_does_not_act_on_outdated_calls(self) -> None:
+        # An order read on waking may be a copy that its operator has long sent elsewhere; also one
+        # that was being read in slices meanwhile. Each is asked at the act, twice.
+        replica_server = FakeReplica(self.loop, True)
+        for answers, expected, got in (
+            ([True], 503, 0),
+            ([False, True], 503, 0),
+            ([False, False], 200, 1),
+        ):
+            suspended = iter(answers)
+            self.api.resources["Config"] = ConfigurationResource(
+                replica_server, lambda: None, lambda suspended=suspended: next(suspended)
+            )
+            self.assertEqual([expected], self.call(b"/api/Config.Patch", CALL))
+            self.assertEqual(got, len(replica_server.got))
+        self.api.resources["Config"] = ConfigurationResource(replica_server, lambda: None, lambda: True)
+        self.assertEqual([503], self.call(b"/api/Config.Get", method=b"GET"))
+        self.assertEqual(1, len(replica_server.got))
--- /dev/null
+++ b/tests/mesh/control_api/test_instances.py
@@ -0,0 +1,61 @@
+"""Heartbeats and leaving of servers over the control API."""
+
+from foxspread.mesh.registry.heartbeat import DRAINING
+from tests.mesh.control_api.support import ControlApiTestCase
+
+HEARTBEAT = {
+    "service": "s1",
+    "address": "10.0.0.9:8080",
+    "zone": "z",
+    "edition": "v1",
+    "berths": 12,
+    "state": "ready",
+    "cold_s_time": 0,
+    "sequence": 4,
+}
+CHANGED_HEARTBEATS = (
+    ({}, 200),
+    ({"berths": 0}, 200),
+    ({"sequence": 3}, 200),
+    ({"address": "10.0.0.9"}, 400),
+    ({"state": "well"}, 400),
+    ({"sequence": "5"}, 400),
+    ({"sequence": None}, 400),
+    ({"more": 1, "sequence": 6}, 200),
+)
+BEAT, LEAVE = b"/api/Instances.Beat/i-1", b"/api/Instances.Leave/i-1"
+DRAIN = HEARTBEAT | {"state": DRAINING, "sequence": 7}
+
+
+class InstancesResourceTest(ControlApiTestCase):
+    def test_a_heartbeat_is_confirmed_only_where_it_was_understood(self) -> None:
+        for change, expected in CHANGED_HEARTBEATS:
+            self.assertEqual([expected], self.call(BEAT, HEARTBEAT | change), change)
+        for body in (b"", b"[]", b"{", b"1"):
+            self.assertEqual([400], self.call(BEAT, body))
+        self.assertEqual([400], self.call(b"/api/Instances.Beat/", HEARTBEAT))
+
+    def test_a_drain_is_confirmed_once_others_know_it(self) -> None:
+        # The answer comes within a second, whether they know it or not.
+        self.call(BEAT, HEARTBEAT)
+        self.assertEqual([], self.call(BEAT, DRAIN, after=0.2))
+        self.assertEqual(DRAINING, self.instances.by_id["i-1"].state)
+        self.assertEqual([200], self.call(BEAT, DRAIN))
+        self.others_know = False
+        self.assertEqual([503], self.call(BEAT, DRAIN | {"sequence": 8}))
+
+    def test_an_instance_that_has_left_is_refused_for_good(self) -> None:
+        self.call(BEAT, HEARTBEAT)
+        self.assertEqual([200], self.call(LEAVE))
+        self.assertEqual([410], self.call(BEAT, HEARTBEAT | {"sequence": 9}))
+        self.assertEqual([200], self.call(LEAVE))
+
+    def test_only_changes_are_published(self) -> None:
+        # The first heartbeat, the drain and the leaving; repetitions, late ones and malformed ones are none.
+        for change, _ in CHANGED_HEARTBEATS:
+            self.call(BEAT, HEARTBEAT | change)
+        for sequence in (7, 8):
+            self.call(BEAT, DRAIN | {"sequence": sequence})
+        for _ in range(2):
+            self.call(LEAVE)
+        self.assertEqual(3, len(self.changes))
--- a/tests/mesh/control_api/test_readiness.py
+++ b/tests/mesh/control_api/test_readiness.py
@@ -14,8 +14,8 @@
 
 
 class ReadinessTest(testtools.TestCase):
-    def test_only_a_recent_basis_makes_ready_for_good(self):
-        # Guards: a keeper that is cut off (age not known, or large), an answer that was held up on its way.
+    def test_only_a_recent_basis_makes_ready_for_good(self) -> None:
+        # A keeper that is cut off (age not known, or large), an answer that was held up on its way.
         ready = Readiness()
         for asked_at, age in ((30.0, None), (30.0, MAX_BASIS_AGE_S + 0.1), (30.0 - MAX_BASIS_AGE_S, 0.1)):
             ready.told(30.0, asked_at, age)
@@ -30,7 +30,7 @@
         self.assertTrue(ready.ready(True))
         self.assertAlmostEqual(20.3, ready.age(60.0))
 
-    def test_a_basis_is_requested_until_ready_and_while_neighbours_depend_on_it(self):
+    def test_a_basis_is_requested_until_ready_and_while_neighbours_depend_on_it(self) -> None:
         ready = Readiness()
         self.assertTrue(ready.asks(1.0, False))
         self.assertFalse(ready.asks(1.0 + 0.9 * BASIS_REQUEST_INTERVAL_S, False))
@@ -44,8 +44,8 @@
 
 
 class SuspendDetectorTest(testtools.TestCase):
-    def test_input_right_after_a_suspension_may_be_outdated(self):
-        # Guards: also what is read before the first tick, and what comes out of buffers in the next turns.
+    def test_input_right_after_a_suspension_may_be_outdated(self) -> None:
+        # Also what is read before the first tick, and what comes out of buffers in the next turns.
         detector = SuspendDetector(10.0, 0.1)
         for number in range(1, 20):
             self.assertEqual(0.0, detector.tick(10.0 + 0.1 * number))
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -58,7 +58,7 @@
         self.assertIsInstance(self.hop.closed(22.0, "i"), Failure)
 
     def test_a_drain_holds_over_a_restart_before_and_after_the_next_heartbeat(self):
-        # Guards: the new process knows of no drain; until the server's next beat it knows no server, and that
+        # The new process knows of no drain; until the server's next beat it knows no server, and that
         # beat says draining, since there is no way back in one life.
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 2)
--- a/tests/mesh/registry/test_endpoint_records.py
+++ b/tests/mesh/registry/test_endpoint_records.py
@@ -11,7 +11,7 @@
 
 class EndpointRecordsTest(testtools.TestCase):
     def test_the_newest_record_of_each_node_is_in_force(self):
-        # Guards: merge by version, not by arrival; of a later life before more of an earlier one.
+        # Merge by version, not by arrival; of a later life before more of an earlier one.
         rows = [
             ["n", [incarnation, number], "z", "up", "a:1", []]
             for incarnation, number in ((1, 1), (1, 9), (2, 1))
@@ -28,7 +28,7 @@
         self.assertEqual(record, unpack_record(record.packed()))
 
     def test_callers_have_alternatives_while_half_of_the_zone_is_up(self):
-        # Guards: stopped in turn at short gaps, all of a zone would be away at once and callers find nobody.
+        # Stopped in turn at short gaps, all of a zone would be away at once and callers find nobody.
         records = EndpointRecords()
 
         def say(now, node, state, number=1, zone="z", incarnation=1):
@@ -49,7 +49,7 @@
         )  # the only one of its zone waits for nobody
 
     def test_sidecars_are_counted_as_records_come(self):
-        # Guards: counted as records come, whatever their order: the same as counting all of them.
+        # Counted as records come, whatever their order: the same as counting all of them.
         rows = [
             ["n", [1, 1], "z", "up", "a:1", []],
             ["n", [1, 2], "y", "leaving", "a:1", []],
--- a/tests/mesh/registry/test_incarnations.py
+++ b/tests/mesh/registry/test_incarnations.py
@@ -32,7 +32,7 @@
 
 class InstanceTableTest(testtools.TestCase):
     def test_drain_and_leave_are_final_in_every_sequence(self):
-        # Guards: a late beat changes nothing; a drain is final, a leave still more, also where it overtakes
+        # A late beat changes nothing; a drain is final, a leave still more, also where it overtakes
         # the drain or the first beat of all; what ended is refused from then on.
         for order in permutations(SAID):
             instances, left, drained = InstanceTable(1.0), False, False
@@ -45,7 +45,7 @@
                 self.assertEqual(None if left else DRAINING if drained else READY, state(instances), order)
 
     def test_a_lower_sequence_after_a_higher_changes_nothing(self):
-        # Guards: what an older beat says is not news, whatever it says.
+        # What an older beat says is not news, whatever it says.
         instances = InstanceTable(1.0)
         self.assertTrue(beat(instances, 0.0, "i", BEAT | {"sequence": 5, "berths": 9}))
         for late in ({"sequence": 4, "berths": 1}, {"sequence": 5, "state": DRAINING}):
@@ -53,7 +53,7 @@
         self.assertEqual([READY, 9], [state(instances), instances.by_id["i"].capacity])
 
     def test_only_what_others_have_to_know_is_a_change(self):
-        # Guards: a beat a second of each server must not be a message a second to all sidecars.
+        # A beat a second of each server must not be a message a second to all sidecars.
         instances = InstanceTable(1.0)
         changes = ({}, {"berths": 5}, {"berths": 5, "state": DRAINING}, {"address": "b:80"}, {"zone": "z"})
         self.assertTrue(beat(instances, 0.0, "i", BEAT | {"cold_s_time": 3.0}))
@@ -62,7 +62,7 @@
             self.assertIs(True, beat(instances, 0.2, "i", BEAT | change | {"sequence": number}), change)
 
     def test_a_drain_first_heard_of_may_be_old(self):
-        # Guards: who is draining when first heard of may have been acknowledged before this process began, so
+        # Who is draining when first heard of may have been acknowledged before this process began, so
         # its part of `drain_s` may be over.
         instances = InstanceTable(1.0)
         beat(instances, 9.0, "i", BEAT | {"state": DRAINING})
@@ -71,7 +71,7 @@
         self.assertEqual([float("-inf"), 9.5], [instances.draining_since[each] for each in "ij"])
 
     def test_a_silent_instance_is_gone_until_it_speaks_again(self):
-        # Guards: a silent server is gone, one that speaks again is back, a draining one is not ready again;
+        # A silent server is gone, one that speaks again is back, a draining one is not ready again;
         # and the silence of a process that stood still itself is nobody's.
         instances = InstanceTable(1.0)
         beat(instances, 0.0, "i", BEAT)
@@ -87,7 +87,7 @@
         self.assertEqual(DRAINING, state(instances))
 
     def test_silent_and_ended_instances_are_forgotten(self):
-        # Guards: ids of silent and of ended lives have an end of their own.
+        # Ids of silent and of ended lives have an end of their own.
         instances = InstanceTable(1.0)
         beat(instances, 0.0, "i", BEAT | {"state": DRAINING})
         instances.leave(0.0, "j")
--- /dev/null
+++ b/tests/mesh/test_settings.py
@@ -0,0 +1,77 @@
+"""Settings: what a file stands for, and which fault of it is named."""
+
+import pathlib
+import tempfile
+from typing import Any
+
+import orjson
+import testtools
+
+from foxspread.mesh.errors import InvalidSettings
+from foxspread.mesh.settings import BOUNDS, Settings, read_settings, reloaded, settings_from
+
+LEAST = {
+    "node": "n",
+    "ip": "127.0.0.1",
+    "zone": "z",
+    "serves": ["side"],
+    "counters": {"control": "127.0.0.1:81"},
+    "inner_ports": [7660, 7661],
+}
+INVALID = (
+    ([], "settings must be an object"),
+    ({}, "node: is missing; wants a text that is not empty"),
+    (LEAST | {"zone": 1}, "zone: 1: wants a text"),
+    (LEAST | {"counters": {"control": "h"}}, "counters: {'control': 'h'}: wants an object of host:port"),
+    (LEAST | {"inner_ports": [1]}, "inner_ports: [1]: wants two ports"),
+    (LEAST | {"inner_ports": [1, 65536]}, "inner_ports: [1, 65536]: wants two ports"),
+    (LEAST | {"seeds": ["h"]}, "seeds: ['h']: wants a list of host:port"),
+    (LEAST | {"heartbeat_s": 0}, "heartbeat_s: 0: wants seconds, 0.01 or more"),
+    (LEAST | {"tolerate": {"machines": -1}}, "tolerate.machines: -1: wants a whole number, 0 or more"),
+    (LEAST | {"data_dir": 1}, "data_dir: 1: wants a folder or null"),
+    (LEAST | {"bounds": ["drain_s"]}, "bounds: 'drain_s' is not name=value"),
+    (LEAST | {"bounds": "drain_s=x"}, "bounds: drain_s='x' is no number"),
+)
+
+
+def settings(**more: Any) -> Settings:
+    return settings_from(LEAST | more)
+
+
+class SettingsFromTest(testtools.TestCase):
+    def test_a_faulty_key_is_named_with_its_value(self) -> None:
+        for data, reason in INVALID:
+            self.assertEqual(InvalidSettings(reason), settings_from(data))
+
+    def test_keys_that_are_left_out_have_defaults(self) -> None:
+        expected = Settings("n", "127.0.0.1", "z", ("side",), {"control": ("127.0.0.1", 81)}, (7660, 7661))
+        self.assertEqual(expected, settings(unknown=1))
+        self.assertFalse(expected.has_storage)
+
+    def test_bounds_are_a_list_or_a_text_and_the_others_stay(self) -> None:
+        for bounds in (["drain_s=3", "later=true", "odd=x"], "drain_s=3, later=true, odd=x"):
+            expected = BOUNDS | {"drain_s": 3.0, "later": 1.0}
+            self.assertEqual(expected, settings(bounds=bounds).bounds)
+
+    def test_seeds_are_called_at_the_port_of_the_mesh(self) -> None:
+        self.assertEqual([("10.0.0.1", 7660)], settings(seeds=["10.0.0.1:81"]).seed_addresses())
+
+    def test_a_reload_changes_neither_identity_nor_addresses_nor_storage(self) -> None:
+        old = settings(data_dir="/a", first_start=True, service="s")
+        other = settings_from(
+            LEAST
+            | {"node": "m", "ip": "127.0.0.2", "counters": {}, "inner_ports": [1, 2]}
+            | {"data_dir": "/b", "service": "t", "seeds": ["h:1"]}
+        )
+        expected = settings(data_dir="/a", first_start=True, service="t", seeds=["h:1"])
+        self.assertEqual(expected, reloaded(old, other))
+
+
+class ReadSettingsTest(testtools.TestCase):
+    def test_a_file_that_cannot_be_read_is_named(self) -> None:
+        path = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()), "node.json")
+        self.assertEqual(InvalidSettings(f"{path}: No such file or directory"), read_settings(str(path)))
+        path.write_bytes(b"{")
+        self.assertTrue(read_settings(str(path)).reason.startswith(f"{path}: "))
+        path.write_bytes(orjson.dumps(LEAST))
+        self.assertEqual(settings(), read_settings(str(path)))
