--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -14,7 +14,8 @@
 from foxspread.mesh.configuration.document import configuration_document, route_match, weighted_services
 from foxspread.mesh.configuration.items import Item, LEASE, MEMBERS, NONE_SUPERSEDED, REFUSED, ROUTE, SERVICE
 from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.replication.storage import Storage
 from tests.write_ahead_log import change_byte
 
@@ -62,7 +63,7 @@
     return as_json(saved, name)
 
 
-def as_json(saved: Saved, name: str) -> dict[str, Any]:
+def as_json(saved: RecoveredState, name: str) -> dict[str, Any]:
     """By names that stay, whatever the code calls them."""
     acceptor = Acceptor(name, saved)
     found = {
@@ -76,7 +77,7 @@
         "rows": sorted(saved.rows, key=lambda row: row[:2]),
         "identities_noted": saved.disks,
         "voting": saved.voting,
-        "members_known": saved.known,
+        "members_known": saved.members_known,
         "epoch": acceptor.epoch,
         "members": acceptor.members.of,
     }
