--- a/foxspread/consensus/coordinator.py
+++ b/foxspread/consensus/coordinator.py
@@ -124,7 +124,7 @@
         try:
             entry = propose()
         except RequestRejected as error:
-            return self._reject(token, str(error))
+            return self._reject_call(token, str(error))
         deadline = now + self.answer_timeout_s
         self.calls[token] = PendingCall(token, deadline, index=entry.index, term=entry.term)
         self.token_by_index[entry.index] = token
@@ -135,13 +135,13 @@
         A version with a number never changes, so whichever node has it answers at once.
         """
         if number and (version := self.versions.get(number)) is not None:
-            return self._answer(token, Status.DONE, version)
+            return self._answer_call(token, Status.DONE, version)
         if not self._has_capacity(token):
             return
         try:
             self.raft.read(now, token)
         except RequestRejected as error:
-            return self._reject(token, str(error))
+            return self._reject_call(token, str(error))
         self.calls[token] = PendingCall(token, now + self.answer_timeout_s, number)
 
     def watch(self, now: float, token: int, after_version: int, wait: float) -> None:
@@ -150,7 +150,7 @@
         Any node answers, and it may lag behind the leader.
         """
         if self.versions.latest > after_version:
-            self._answer(token, Status.DONE, self.versions.get())
+            self._answer_call(token, Status.DONE, self.versions.get())
         elif len(self.watches) >= MAX_WATCHES:
             self.answers.append(Answer(token, Status.REJECTED, f"{MAX_WATCHES} calls watch already"))
         else:
@@ -161,8 +161,8 @@
         try:
             self.raft.transfer_leadership(now, target)
         except RequestRejected as error:
-            return self._reject(token, str(error))
-        self._answer(token, Status.DONE)
+            return self._reject_call(token, str(error))
+        self._answer_call(token, Status.DONE)
 
     def cancel(self, token: int) -> None:
         """Nobody waits for this call's answer any more."""
@@ -175,11 +175,11 @@
         self.answers.append(Answer(token, Status.REJECTED, f"{MAX_PENDING_CALLS} calls wait already"))
         return False
 
-    def _reject(self, token: int, reason: str) -> None:
+    def _reject_call(self, token: int, reason: str) -> None:
         is_leader = self.raft.role is Role.LEADER
-        self._answer(token, Status.REJECTED if is_leader else Status.NOT_LEADER, reason)
+        self._answer_call(token, Status.REJECTED if is_leader else Status.NOT_LEADER, reason)
 
-    def _answer(self, token: int, status: Status, value: Any = None) -> None:
+    def _answer_call(self, token: int, status: Status, value: Any = None) -> None:
         self.answers.append(Answer(token, status, value, self.raft.leader_id))
 
     # Inputs
@@ -201,7 +201,7 @@
         self.raft.tick(now)
         for call in [each for each in self.calls.values() if each.deadline <= now]:
             self._time_out(call)
-        self._answer_watches(now)
+        self._answer_version_watches(now)
 
     def _time_out(self, call: PendingCall) -> None:
         reason = "no majority answered in time"
@@ -212,13 +212,13 @@
             return
         if self.token_by_index.get(call.index) == call.token:  # a later call may wait for the same index
             del self.token_by_index[call.index]
-        self._answer(call.token, Status.UNKNOWN, reason)
+        self._answer_call(call.token, Status.UNKNOWN, reason)
 
-    def _answer_watches(self, now: float) -> None:
+    def _answer_version_watches(self, now: float) -> None:
         for token, watch in list(self.watches.items()):
             if self.versions.latest > watch.after_version or watch.deadline <= now:
                 del self.watches[token]
-                self._answer(token, Status.DONE, self.versions.get())
+                self._answer_call(token, Status.DONE, self.versions.get())
 
     def wake_at(self) -> float:
         """When `tick` next has something to do; infinite where it has nothing."""
@@ -250,7 +250,7 @@
             if not self._read_finished(now, token, confirmed):
                 self._answer_read(token, confirmed)
         if self.watches and (ready.entries or ready.restored is not None):
-            self._answer_watches(now)
+            self._answer_version_watches(now)
         self._compact(now)
 
     def _answer_read(self, token: int, confirmed: bool) -> None:
@@ -258,9 +258,9 @@
         if call is None:
             return  # it has timed out
         if confirmed:
-            self._answer(token, Status.DONE, self.versions.get(call.number))
+            self._answer_call(token, Status.DONE, self.versions.get(call.number))
         else:
-            self._answer(token, Status.NOT_LEADER, "it leads no more")
+            self._answer_call(token, Status.NOT_LEADER, "it leads no more")
 
     def _restored(self, snapshot: Snapshot) -> None:
         self.versions.restore(snapshot.data)
@@ -268,7 +268,7 @@
         for index in [each for each in self.token_by_index if each <= snapshot.index]:
             token = self.token_by_index.pop(index)  # whether the snapshot includes this write is not known
             del self.calls[token]
-            self._answer(token, Status.UNKNOWN, "this member fell behind")
+            self._answer_call(token, Status.UNKNOWN, "this member fell behind")
 
     def _applied(self, index: int, entry: LogEntry) -> None:
         self.log_bytes += entry.size()
@@ -278,9 +278,9 @@
             return
         call = self.calls.pop(token)
         if call.term == entry.term:
-            self._answer(token, Status.DONE, value)
+            self._answer_call(token, Status.DONE, value)
         else:  # another leader's entry took the place of the call's, which will never be committed
-            self._answer(token, Status.NOT_LEADER, "another leader's entry stands there")
+            self._answer_call(token, Status.NOT_LEADER, "another leader's entry stands there")
 
     def _host_message_received(self, now: float, sender: str, body: bytes) -> None:
         """For subclasses: a message from another node's host."""
