--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -1,6 +1,6 @@
 """One hollow sidecar: a node as in service, without listeners for requests and without a platform, whose
-server's beats are handed in. What it depends on of `Node`: the constructor, `run`, `table.put`,
-`records.take`, `copy`, `links`, the resource `Instances`.
+server's beats are handed in. What it depends on of `Node`: the constructor, `run`, `reload_settings`,
+`table.put`, `records.take`, `learner`, `links.connections`, `endpoints.desks`.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class _Node(Node):
-    def _reread(self) -> None:
+    def reload_settings(self) -> None:
         """All of one process have one environment: the settings stay as they were handed in."""
 
 
@@ -83,7 +83,7 @@
         return (
             (0, 0, 0)
             if node is None
-            else (len(node.learner.items), len(node.records.of), len(node.connections))
+            else (len(node.learner.items), len(node.records.of), len(node.links.connections))
         )
 
     def _marked(self, node: Node) -> None:
@@ -104,9 +104,9 @@
 
     async def _beats(self, node: Node, server: Server, id: str) -> None:
         beat_s = self.settings.heartbeat_s
-        while "control" not in node.desks:
+        while "control" not in node.endpoints.desks:
             await asyncio.sleep(0.01)
-        instances: Any = node.desks["control"].resources["Instances"]
+        instances: Any = node.endpoints.desks["control"].resources["Instances"]
         await asyncio.sleep(beat_s * node.chance.draw())
         while True:
             outcome = await instances.post_beat(id, server.beat())
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -58,7 +58,7 @@
         self.assertIsInstance(self.hop.closed(22.0, "i"), Failure)
 
     def test_a_drain_holds_over_a_restart_before_and_after_the_next_heartbeat(self):
-        # Guards: the new process knows of no drain; until the server's next beat it knows no server, and that
+        # The new process knows of no drain; until the server's next beat it knows no server, and that
         # beat says draining, since there is no way back in one life.
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 2)
@@ -82,5 +82,5 @@
     def test_time_of_a_suspension_counts_for_a_drain(self):
         self.beat(0.0, READY, 1)
         self.beat(1.0, DRAINING, 2)
-        self.instances.excuse_silence(20.0)
+        self.instances.exclude_suspension(20.0)
         self.assertFalse(self.passes(21.5))
