--- a/foxspread/mesh/configuration/idempotency.py
+++ b/foxspread/mesh/configuration/idempotency.py
@@ -26,7 +26,6 @@
 )
 from foxspread.mesh.configuration.retention import (
     Refusal,
-    collectable,  # noqa: F401  # its former place, until the last caller has gone over
     items_of_refusal,
     tombstone_floor,
 )
--- a/foxspread/mesh/configuration/items.py
+++ b/foxspread/mesh/configuration/items.py
@@ -65,11 +65,6 @@
             return self
         return Item(self.kind, self.name, self.version, self.content)
 
-    @property
-    def bare(self) -> "Item":
-        """The former name of `without_history`."""
-        return self.without_history
-
     def packed(self) -> list:
         """The row that is sent and stored."""
         row = [self.kind, self.name, self.version, self.content]
@@ -87,7 +82,3 @@
 def is_for_sidecars(item: Item) -> bool:
     """Whether processes without a disk get the item."""
     return item.kind in SIDECAR_KINDS or (item.kind == COMPACTION and item.name == TOMBSTONES)
-
-
-# Former names, until the last caller has gone over.
-THEIRS, KEPT, for_all = OPERATOR_KINDS, COMPACTION, is_for_sidecars
--- a/foxspread/mesh/configuration/routes.py
+++ b/foxspread/mesh/configuration/routes.py
@@ -84,11 +84,6 @@
         self.by_host: dict[str, dict[str, Route | Item]] = {}  # by host, then by prefix
         self.matches: dict[Key, RouteMatch] = {}  # of each route item in force
 
-    @property
-    def places(self) -> dict[Key, RouteMatch]:
-        """The former name of `matches`."""
-        return self.matches
-
     def put(self, item: Item) -> None:
         """Takes over a newer version of an item; those that are no routes are ignored."""
         if item.kind != ROUTE:
--- a/foxspread/mesh/control_api/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -65,7 +65,3 @@
             log_event("server", id=request.id, state="left")
             self._publish()
         return EMPTY
-
-    async def post_beat(self, id: str, body: bytes) -> Response:
-        """The former name of `beat`, until the last caller has gone over."""
-        return await self.beat(Request(id, body))
--- a/foxspread/mesh/control_api/readiness.py
+++ b/foxspread/mesh/control_api/readiness.py
@@ -17,9 +17,6 @@
 OUTDATED_INPUT_S = 1.0  # after a suspension, in which what came meanwhile is read
 REPORTED_AFTER_TICKS = 4  # a shorter delay is the usual jitter of the loop
 
-# Former names, until the last caller has gone over.
-BASIS_S, ASK_S, LEANT_ON_S = MAX_BASIS_AGE_S, BASIS_REQUEST_INTERVAL_S, MAX_AGE_FOR_NEIGHBOURS_S
-
 
 class Readiness:
     """The basis of one incarnation of a sidecar; times are seconds of its steady clock."""
@@ -29,7 +26,7 @@
         self.has_basis = False  # in this incarnation, one that was recent when it came
         self.next_request_at = -math.inf
 
-    def told(self, now: float, requested_at: float, age_s: float | None) -> None:
+    def record_basis(self, now: float, requested_at: float, age_s: float | None) -> None:
         """All of a sender's state is here; `age_s`: how old it said that it may be, None: not known."""
         if age_s is None or requested_at > now:
             return
@@ -38,20 +35,20 @@
         if now - self.current_at <= MAX_BASIS_AGE_S:
             self.has_basis = True
 
-    def age(self, now: float) -> float | None:
+    def age_s(self, now: float) -> float | None:
         """Seconds for which it may have missed what was acknowledged; None: not known."""
         return None if self.current_at is None else now - self.current_at
 
-    def asks(self, now: float, has_dependents: bool) -> bool:
+    def should_request_basis(self, now: float, has_dependents: bool) -> bool:
         """Whether to request a recent basis now; it counts as requested then."""
-        age_s = self.age(now)
+        age_s = self.age_s(now)
         too_old_for_dependents = has_dependents and (age_s is None or age_s > MAX_AGE_FOR_NEIGHBOURS_S)
         if self.has_basis and not too_old_for_dependents or now < self.next_request_at:
             return False
         self.next_request_at = now + BASIS_REQUEST_INTERVAL_S
         return True
 
-    def ready(self, has_state: bool) -> bool:
+    def is_ready(self, has_state: bool) -> bool:
         """Whether a sidecar is ready; `has_state`: it has items, and records of servers."""
         return has_state and self.has_basis
 
@@ -72,9 +69,3 @@
     def input_may_be_outdated(self, now: float) -> bool:
         """Whether what is read now may have been sent long ago; to be asked where it is read."""
         return now - self.last_tick_at > SUSPENDED_AFTER_S or now < self.outdated_until
-
-    # Former names, until the last caller has gone over.
-    beat, stale = tick, input_may_be_outdated
-
-
-PauseDetector = SuspendDetector
--- a/foxspread/mesh/dataplane/lasthop.py
+++ b/foxspread/mesh/dataplane/lasthop.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from foxspread.mesh.budget.runs import Runs
-from foxspread.mesh.registry.incarnations import DRAINING, GONE, InstanceTable
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.registry.incarnations import DRAINING, GONE, InstanceTable
 from foxspread.mesh.settings import Address, parse_address
 from foxspread.sums import Mean
 
--- a/foxspread/mesh/errors.py
+++ b/foxspread/mesh/errors.py
@@ -70,7 +70,3 @@
 def failure_of_status(status: int, reason: str) -> Failure:
     """The failure that was stored as a status and a reason."""
     return _KIND_OF_STATUS.get(status, Failure)(reason, status)
-
-
-# Former names, until the last caller has gone over.
-invalid, conflict, outcome_unknown = InvalidRequest, Conflict, OutcomeUnknown
--- a/foxspread/mesh/event_log.py
+++ b/foxspread/mesh/event_log.py
@@ -17,8 +17,8 @@
 class EventKind(StrEnum):
     """What may happen, and the type of the event's body."""
 
-    ITEMS_COMMITTED = "settled"  # a list of `Item`: what has come into force here
-    RECORD_UPDATED = "record"  # the name of the node whose endpoint record is newer
+    ITEMS_COMMITTED = "items_committed"  # a list of `Item`: what has come into force here
+    RECORD_UPDATED = "record_updated"  # the name of the node whose endpoint record is newer
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,8 +47,6 @@
         """Every later event of that kind goes to the handler, after those subscribed before it."""
         self._handlers[kind].append(handler)
 
-    view = subscribe  # the former name, until the last caller has gone over
-
     def append(self, kind: EventKind, body: Any = None) -> None:
         """Hands the event to all views before it returns.
 
--- a/foxspread/mesh/health/upstreams.py
+++ b/foxspread/mesh/health/upstreams.py
@@ -6,8 +6,8 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from foxspread.mesh.registry.incarnations import READY
 from foxspread.mesh.registry.endpoint_records import UP, EndpointRecords
+from foxspread.mesh.registry.incarnations import READY
 from foxspread.mesh.settings import Address
 from foxspread.rings import Ring
 from foxspread.sums import Mean
--- a/foxspread/mesh/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -13,8 +13,9 @@
 import orjson
 import uvloop
 
-from foxspread.mesh.hollow.traffic_meter import Meter
+from foxspread.mesh.control_api.calls import Request
 from foxspread.mesh.hollow.sidecar import Hollow
+from foxspread.mesh.hollow.traffic_meter import Meter
 from foxspread.mesh.log import configure_logging
 from foxspread.mesh.settings import settings_from
 
@@ -69,7 +70,9 @@
         at = time.monotonic()
         id = f"{told['node']}-{hollow.starts}"
         await (
-            hollow.node.endpoints.desks["control"].resources["Instances"].post_beat(id, hollow.server.beat())
+            hollow.node.endpoints.desks["control"]
+            .resources["Instances"]
+            .beat(Request(id, hollow.server.beat()))
         )
         return {"at": at, "what": f"{id}@{hollow.server.berths}"}
 
--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -1,6 +1,6 @@
 """One hollow sidecar: a node as in service, without listeners for requests and without a platform, whose
 server's beats are handed in. What it depends on of `Node`: the constructor, `run`, `reload_settings`,
-`table.put`, `records.take`, `learner`, `links.connections`, `endpoints.desks`.
+`table.put`, `records.update`, `learner`, `links.connections`, `endpoints.desks`.
 """
 
 import asyncio
@@ -12,9 +12,10 @@
 import orjson
 
 from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.control_api.calls import Request
+from foxspread.mesh.errors import Failure
 from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
 from foxspread.mesh.node import Node
-from foxspread.mesh.errors import Failure
 from foxspread.mesh.registry.endpoint_records import EndpointRecord
 from foxspread.mesh.settings import Settings
 
@@ -83,11 +84,11 @@
         return (
             (0, 0, 0)
             if node is None
-            else (len(node.learner.items), len(node.records.of), len(node.links.connections))
+            else (len(node.learner.items), len(node.records.by_node), len(node.links.connections))
         )
 
     def _marked(self, node: Node) -> None:
-        put, take = node.table.put, node.records.take
+        put, take = node.table.put, node.records.update
 
         def marked_put(item: Item) -> None:
             put(item)
@@ -97,10 +98,10 @@
             taken = take(now, new)
             if taken:
                 for each in new.servers:
-                    self.mark(f"{each.id}@{each.berths}", time.monotonic())
+                    self.mark(f"{each.id}@{each.capacity}", time.monotonic())
             return taken
 
-        node.table.put, node.records.take = marked_put, marked_take
+        node.table.put, node.records.update = marked_put, marked_take
 
     async def _beats(self, node: Node, server: Server, id: str) -> None:
         beat_s = self.settings.heartbeat_s
@@ -109,7 +110,7 @@
         instances: Any = node.endpoints.desks["control"].resources["Instances"]
         await asyncio.sleep(beat_s * node.chance.draw())
         while True:
-            outcome = await instances.post_beat(id, server.beat())
+            outcome = await instances.beat(Request(id, server.beat()))
             if isinstance(outcome, Failure):
                 raise AssertionError(f"a beat of {id} is refused: {outcome.reason}")
             await asyncio.sleep(beat_s)
--- a/foxspread/mesh/hollow/sizing.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -124,7 +124,7 @@
         records = EndpointRecords()
         upstreams = Upstreams(records)
         for each in told:
-            records.take(0.0, unpack_record(each))
+            records.update(0.0, unpack_record(each))
             upstreams.fold(0.0, each[0])
         return records, upstreams
 
@@ -188,7 +188,7 @@
         )
     )
 
-    one = records.of[told[0][0]].packed()
+    one = records.by_node[told[0][0]].packed()
     out += message("notice of one record", {"t": "have", "v": {told[0][0]: told[0][1]}})
     out += message("one record", {"t": "news", "at": 1.5, "records": [one]})
     out += message(
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -16,7 +16,7 @@
 from foxspread.mesh.control_api.configuration import ConfigurationResource
 from foxspread.mesh.control_api.handlers import ControlApi, ReadinessApi
 from foxspread.mesh.control_api.instances import InstancesResource
-from foxspread.mesh.control_api.readiness import PauseDetector, Readiness
+from foxspread.mesh.control_api.readiness import SuspendDetector, Readiness
 from foxspread.mesh.endpoints import Endpoints
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.event_log import EventKind, EventLog
@@ -80,7 +80,7 @@
         self.replica_server: ReplicaServer | None = None
         self.contact: ReplicaContact | None = None
         self.instances = InstanceTable(settings.heartbeat_s, settings.zone)
-        self.pauses = PauseDetector(self.clock(), TICK_S)
+        self.pauses = SuspendDetector(self.clock(), TICK_S)
         self._build_state()
         self._build_links()
         self._build_endpoints()
@@ -141,7 +141,7 @@
             self.table,
             self.upstreams,
             lambda: self.sync.has_items,
-            lambda: self.records.sidecars,
+            lambda: self.records.sidecar_count,
         )
         self.configuration = CommittedConfiguration(
             self.clock,
@@ -214,7 +214,9 @@
             self.clock, self.instances, self.publish_own_record, self._drain_is_propagated
         )
         configuration = ConfigurationResource(
-            self.replica_server, self.links.any_replica, lambda: self.pauses.stale(self.clock())
+            self.replica_server,
+            self.links.any_replica,
+            lambda: self.pauses.input_may_be_outdated(self.clock()),
         )
         control = ControlApi(self.clock, {"Instances": instances, "Config": configuration})
         readiness = ReadinessApi(self.clock, self.ready)
@@ -252,7 +254,9 @@
             self.settings.bounds["grace_s"],
             "outbound" in self.settings.counters,
             self.endpoints,
-            lambda now, s: self.records.spares(now, self.settings.node, self.settings.zone, s),
+            lambda now, s: self.records.callers_have_alternatives(
+                now, self.settings.node, self.settings.zone, s
+            ),
             lambda now: self.contact is None or self.contact.may_leave_membership(now),
         )
         log_event("ending")
@@ -278,7 +282,7 @@
     # Regular work.
 
     async def _tick_forever(self) -> None:
-        count, self.pauses = 0, PauseDetector(self.clock(), TICK_S)  # reading the disk was no pause
+        count, self.pauses = 0, SuspendDetector(self.clock(), TICK_S)  # reading the disk was no pause
         while True:
             await asyncio.sleep(TICK_S)
             count += 1
@@ -286,10 +290,10 @@
             self._tick_rarely(count)
 
     def _tick(self, now: float) -> None:
-        paused_s = self.pauses.beat(now)
+        paused_s = self.pauses.tick(now)
         if paused_s:
             log_event("slept", seconds=paused_s)
-            self.instances.slept(paused_s)
+            self.instances.exclude_suspension(paused_s)
         self.links.check_liveness(paused_s)
         if self.replica_server is not None:
             self.replica_server.tick()
@@ -337,7 +341,7 @@
     def _renew_basis(self, now: float) -> None:
         """Until it is ready, and while a neighbour falls back on it, a sidecar asks how old its state is."""
         links = self.links
-        if links.connections and self.sync.readiness.asks(now, links.serves_as_fallback):
+        if links.connections and self.sync.readiness.should_request_basis(now, links.serves_as_fallback):
             links.send(links.any_informed_peer(), self.sync.basis_pull(now))
 
     # State.
--- a/foxspread/mesh/registry/endpoint_records.py
+++ b/foxspread/mesh/registry/endpoint_records.py
@@ -99,16 +99,3 @@
         others_up = [each.node for each in sidecars if each.node != node and each.state == UP]
         ready = sum(now - self.in_state_since[each] >= up_for_s for each in others_up)
         return len(sidecars) < 2 or 2 * ready >= len(sidecars)
-
-    # Former names, until the last caller has gone over.
-    take, spares = update, callers_have_alternatives
-
-    @property
-    def of(self) -> dict[str, EndpointRecord]:
-        """The former name of `by_node`."""
-        return self.by_node
-
-    @property
-    def sidecars(self) -> int:
-        """The former name of `sidecar_count`."""
-        return self.sidecar_count
--- a/foxspread/mesh/registry/incarnations.py
+++ b/foxspread/mesh/registry/incarnations.py
@@ -34,11 +34,6 @@
     slow_start_s: float = 0.0  # from when the row was made until it is as fast as ever
     software_version: str = ""
 
-    @property
-    def berths(self) -> int:
-        """The former name of `capacity`."""
-        return self.capacity
-
     def packed(self) -> list:
         """The row that is sent."""
         return [
@@ -139,8 +134,6 @@
             for each in self.by_id.values()
         ]
 
-    slept = exclude_suspension  # the former name, until the last caller has gone over
-
 
 def _published(instance: Instance) -> Instance:
     """Without what changes with each heartbeat: others need not know that."""
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -13,7 +13,15 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpack_item
+from foxspread.mesh.configuration.items import (
+    COMPACTION,
+    OPERATOR_KINDS,
+    REFUSED,
+    Item,
+    Key,
+    is_for_sidecars,
+    unpack_item,
+)
 from foxspread.mesh.errors import InvariantViolation
 
 ProposalNumber = tuple[int, str]  # a counter, and the incarnation of the proposer: unique
@@ -179,9 +187,9 @@
                 continue
             item = self.items[key]
             if bare:
-                if not for_all(item):
+                if not is_for_sidecars(item):
                     continue
-                item = item.bare
+                item = item.without_history
             row = pack_row(item, proposal_number)
             size += len(orjson.dumps(row))
             if rows and size > limit_bytes:
@@ -193,7 +201,7 @@
 
     def _put(self, item: Item, proposal_number: ProposalNumber) -> bool:
         """Whether the item is in the set from now on."""
-        if item.kind == KEPT:
+        if item.kind == COMPACTION:
             self._collect(item, proposal_number)
         elif item.kind == REFUSED:
             self.clock = max(self.clock, item.content[2])
@@ -253,5 +261,7 @@
 def _as_dropped(gone: list[Item]) -> list[Item]:
     """The operator's items among these, each as dropped at its version."""
     return [
-        Item(*old.key, old.version, None) for old in gone if old.content is not None and old.kind in THEIRS
+        Item(*old.key, old.version, None)
+        for old in gone
+        if old.content is not None and old.kind in OPERATOR_KINDS
     ]
--- a/foxspread/mesh/simulation/invariants.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -7,7 +7,7 @@
 import orjson
 
 from foxspread.mesh.configuration.consistency import find_inconsistency
-from foxspread.mesh.configuration.items import Item, Key, LEASE, MEMBERS, is_for_sidecars
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item, Key, is_for_sidecars
 from foxspread.mesh.errors import Failure
 
 ANSWERED_S = 4.0  # a call at a machine without trouble is answered within this
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from foxspread.mesh.configuration.items import LEASE, MEMBERS, THEIRS, Item, Key
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, OPERATOR_KINDS, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
 from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.errors import InvariantViolation, Failure
@@ -38,7 +38,7 @@
 RECONNECT_S = 1.5  # links come up anew, whoever was missed is told
 PIECE_BYTES = 600  # of rows in a piece: so small that a set comes in many
 CUT_OFF_S = 0.3  # for a call on a machine without contact to a majority, as in a node
-SHOWN = THEIRS | {MEMBERS, LEASE}  # what the judge is shown
+SHOWN = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the judge is shown
 
 
 @dataclass(frozen=True)
@@ -166,7 +166,7 @@
 
     def _show(self, new: list[Item]) -> None:
         self.fleet.judge.now = self.world.now
-        if new := [item.bare for item in new if item.kind in SHOWN]:
+        if new := [item.without_history for item in new if item.kind in SHOWN]:
             self.fleet.say(
                 f"{self.name} shows {' '.join(map(shown, new))}, upto {self.learner.committed_number[0]}"
             )
@@ -201,7 +201,7 @@
         super().start()
 
     def _tick(self) -> None:
-        if self.sync.readiness.asks(self.clock(), False):
+        if self.sync.readiness.should_request_basis(self.clock(), False):
             to = self.world.pick(self.fleet.machines).name
             self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
@@ -212,7 +212,7 @@
 
     def heard(self, sender: str, message: Fields) -> None:
         super().heard(sender, message)
-        if not self.was_ready and self.sync.readiness.ready(self.sync.has_items):
+        if not self.was_ready and self.sync.readiness.is_ready(self.sync.has_items):
             self.was_ready = True
             self.fleet.judge.tells(self.named, "is ready", self.learner.items)
 
@@ -350,4 +350,8 @@
 
     def theirs(self) -> dict[Key, Item]:
         """What a read tells."""
-        return {key: item.bare for key, item in self.learner.items.items() if item.kind in THEIRS}
+        return {
+            key: item.without_history
+            for key, item in self.learner.items.items()
+            if item.kind in OPERATOR_KINDS
+        }
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -234,7 +234,9 @@
     """What held under a number is not known once a newer one holds."""
 
     def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        return super()._evaluate({key: item.bare for key, item in proposed.items()}, delta, call, now)
+        return super()._evaluate(
+            {key: item.without_history for key, item in proposed.items()}, delta, call, now
+        )
 
 
 class RefusalNotAgreed(Proposer):
@@ -364,8 +366,8 @@
 class ReadyByAnyBasis(Readiness):
     """Ready by whatever was told, however old."""
 
-    def told(self, now: float, asked_at: float, age: float | None) -> None:
-        super().told(now, now, 0.0)
+    def record_basis(self, now: float, requested_at: float, age_s: float | None) -> None:
+        super().record_basis(now, now, 0.0)
 
 
 CORES: dict[str, Cores] = {
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -127,12 +127,12 @@
             return False
         if self.replica is not None:
             return self.replica.fresh and self.replica.in_contact()
-        return self.readiness.ready(self.has_records)
+        return self.readiness.is_ready(self.has_records)
 
     def age(self) -> float | None:
         """Seconds for which this process may have missed commits; None: not known."""
         if self.replica is None:
-            return self.readiness.age(self.clock())
+            return self.readiness.age_s(self.clock())
         return self.replica.age() if self.replica.in_contact() else None
 
     def committed(self, new: list[Item]) -> None:
@@ -148,7 +148,7 @@
 
     def take_record(self, record: EndpointRecord) -> None:
         """An endpoint record, this process's own or a peer's; ignored if a newer one is held."""
-        if self.records.take(self.clock(), record):
+        if self.records.update(self.clock(), record):
             self.anti_entropy.set_version(record.node, record.version)
             self.on_record(record.node)
             self.schedule_flush()
@@ -194,7 +194,11 @@
 
     def answer_pull(self, peer: str, pull: Pull) -> PullResponse:
         """The records that are asked for, and how new the committed set is if the peer may be told."""
-        records = [self.records.of[source].packed() for source in pull.versions if source in self.records.of]
+        records = [
+            self.records.by_node[source].packed()
+            for source in pull.versions
+            if source in self.records.by_node
+        ]
         if COMMITTED_SET in pull.versions and self.may_send_committed_set(peer):
             return PullResponse(pull.requested_at, self.learner.committed_number, self.age(), records or None)
         return PullResponse(pull.requested_at, records=records or None)
@@ -203,7 +207,7 @@
         response = PullResponse.decode(fields)
         if response.committed_number is not None and self.replica is None:
             if response.committed_number <= self.learner.committed_number:
-                self.readiness.told(self.clock(), response.requested_at, response.age_s)
+                self.readiness.record_basis(self.clock(), response.requested_at, response.age_s)
             else:
                 self.snapshot_transfer.on_peer_committed(peer, response.committed_number)
         if response.records is not None:
@@ -232,7 +236,7 @@
         take = self.learner.replace if received.complete_set else self.learner.fold
         self.on_committed(take(received.committed_number, map(unpack_row, received.rows)))
         self.anti_entropy.set_version(COMMITTED_SET, self.learner.committed_number)
-        self.readiness.told(now, now, received.staleness_s)
+        self.readiness.record_basis(now, now, received.staleness_s)
 
     # Sending.
 
--- a/tests/mesh/configuration/test_idempotency.py
+++ b/tests/mesh/configuration/test_idempotency.py
@@ -5,8 +5,8 @@
 import testtools
 
 from foxspread.mesh.configuration import idempotency
-from foxspread.mesh.configuration.items import LEASE, MEMBERS, ROUTE, SERVICE, Item
 from foxspread.mesh.configuration.idempotency import apply_change, digest_of_change, merge
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, ROUTE, SERVICE, Item
 from foxspread.mesh.errors import Failure
 from tests.mesh.configuration.support import by_key, route_item
 from tests.mesh.replication.scripted_replicas import route, service
--- a/tests/mesh/control_api/test_readiness.py
+++ b/tests/mesh/control_api/test_readiness.py
@@ -4,8 +4,8 @@
 
 from foxspread.mesh.control_api.readiness import (
     BASIS_REQUEST_INTERVAL_S,
-    MAX_BASIS_AGE_S,
     MAX_AGE_FOR_NEIGHBOURS_S,
+    MAX_BASIS_AGE_S,
     OUTDATED_INPUT_S,
     SUSPENDED_AFTER_S,
     Readiness,
@@ -15,32 +15,32 @@
 
 class ReadinessTest(testtools.TestCase):
     def test_only_a_recent_basis_makes_ready_for_good(self) -> None:
-        # A keeper that is cut off (age not known, or large), an answer that was held up on its way.
-        ready = Readiness()
-        for asked_at, age in ((30.0, None), (30.0, MAX_BASIS_AGE_S + 0.1), (30.0 - MAX_BASIS_AGE_S, 0.1)):
-            ready.told(30.0, asked_at, age)
-            self.assertFalse(ready.ready(True), (asked_at, age))
-        ready.told(31.0, 31.5, 0.0)  # of no asking of this life
-        self.assertFalse(ready.ready(True))
-        ready.told(40.0, 39.9, 0.2)
-        self.assertTrue(ready.ready(True))
-        self.assertFalse(ready.ready(False))
-        self.assertAlmostEqual(0.3, ready.age(40.0))
-        ready.told(60.0, 60.0, 25.0)  # an older word takes nothing back
-        self.assertTrue(ready.ready(True))
-        self.assertAlmostEqual(20.3, ready.age(60.0))
+        # None of a partitioned replica (its age is not known, or large), nor an answer that was delayed.
+        readiness = Readiness()
+        for requested_at, age in ((30.0, None), (30.0, MAX_BASIS_AGE_S + 0.1), (30.0 - MAX_BASIS_AGE_S, 0.1)):
+            readiness.record_basis(30.0, requested_at, age)
+            self.assertFalse(readiness.is_ready(True), (requested_at, age))
+        readiness.record_basis(31.0, 31.5, 0.0)  # no request of this incarnation
+        self.assertFalse(readiness.is_ready(True))
+        readiness.record_basis(40.0, 39.9, 0.2)
+        self.assertTrue(readiness.is_ready(True))
+        self.assertFalse(readiness.is_ready(False))
+        self.assertAlmostEqual(0.3, readiness.age_s(40.0))
+        readiness.record_basis(60.0, 60.0, 25.0)  # an older basis takes nothing back
+        self.assertTrue(readiness.is_ready(True))
+        self.assertAlmostEqual(20.3, readiness.age_s(60.0))
 
     def test_a_basis_is_requested_until_ready_and_while_neighbours_depend_on_it(self) -> None:
-        ready = Readiness()
-        self.assertTrue(ready.asks(1.0, False))
-        self.assertFalse(ready.asks(1.0 + 0.9 * BASIS_REQUEST_INTERVAL_S, False))
-        self.assertTrue(ready.asks(1.1 + BASIS_REQUEST_INTERVAL_S, False))
-        ready.told(2.0, 2.0, 0.0)
-        self.assertFalse(ready.asks(50.0, False))
-        self.assertTrue(ready.asks(50.0, True))
-        ready.told(50.1, 50.0, 0.1)
-        self.assertFalse(ready.asks(50.1 + BASIS_REQUEST_INTERVAL_S, True))
-        self.assertTrue(ready.asks(50.2 + MAX_AGE_FOR_NEIGHBOURS_S, True))
+        readiness = Readiness()
+        self.assertTrue(readiness.should_request_basis(1.0, False))
+        self.assertFalse(readiness.should_request_basis(1.0 + 0.9 * BASIS_REQUEST_INTERVAL_S, False))
+        self.assertTrue(readiness.should_request_basis(1.1 + BASIS_REQUEST_INTERVAL_S, False))
+        readiness.record_basis(2.0, 2.0, 0.0)
+        self.assertFalse(readiness.should_request_basis(50.0, False))
+        self.assertTrue(readiness.should_request_basis(50.0, True))
+        readiness.record_basis(50.1, 50.0, 0.1)
+        self.assertFalse(readiness.should_request_basis(50.1 + BASIS_REQUEST_INTERVAL_S, True))
+        self.assertTrue(readiness.should_request_basis(50.2 + MAX_AGE_FOR_NEIGHBOURS_S, True))
 
 
 class SuspendDetectorTest(testtools.TestCase):
--- a/tests/mesh/dataplane/test_caller.py
+++ b/tests/mesh/dataplane/test_caller.py
@@ -365,7 +365,7 @@
         site = Site(self.loop, others=("b",), mail_class="unsafe")
         drain = Heartbeat("s1", "b:80", DRAINING, 2, capacity=4)
         site.instances["b"].record_heartbeat(self.loop.now, "i-b", drain)
-        site.instances["b"].slept(5.0)
+        site.instances["b"].exclude_suspension(5.0)
         self.loop.now += 5.0
         transport = site.ask(PAY)
         self.assertEqual([[503], []], [statuses(transport.written), site.seen])
--- a/tests/mesh/dataplane/test_errand.py
+++ b/tests/mesh/dataplane/test_errand.py
@@ -34,7 +34,7 @@
         records = EndpointRecords()
         self.upstreams = Upstreams(records)
         rows = tuple(unpack_instance([f"i{n}", "s1", "a:1", "z", 4, "ready", 1]) for n in range(servers))
-        records.take(self.now, EndpointRecord("n", (1, 1), "z", "up", ("n", 70), rows))
+        records.update(self.now, EndpointRecord("n", (1, 1), "z", "up", ("n", 70), rows))
         self.upstreams.fold(self.now, "n")
         self.steering = Steering("z", self.upstreams, BOUNDS | bounds, Chance(2), lambda: 1)
         told = route(mail_class="safe" if safe else "unsafe", attempts=attempts)
@@ -198,7 +198,7 @@
         world = World(self, False)
         upstreams, there = world.upstreams, world.errand.tries[0].upstream
         for number, rows in ((2, ()), (3, (unpack_instance([there.id, "s1", "a:1", "z", 4, "ready", 2]),))):
-            upstreams.records.take(world.now, EndpointRecord("n", (1, number), "z", "up", ("n", 70), rows))
+            upstreams.records.update(world.now, EndpointRecord("n", (1, number), "z", "up", ("n", 70), rows))
             upstreams.fold(world.now, "n")
         world.end(0, ENDS["done"])
         self.assertEqual([0, 0], [there.flying, upstreams.service("s1").by_id[there.id].flying])
--- a/tests/mesh/health/test_upstreams.py
+++ b/tests/mesh/health/test_upstreams.py
@@ -30,7 +30,7 @@
             for id, told, *more in rows
         )
         place = (node, 70) if inbound else None
-        self.records.take(0.0, EndpointRecord(node, (1, self.number), zone, state, place, servers))
+        self.records.update(0.0, EndpointRecord(node, (1, self.number), zone, state, place, servers))
         self.upstreams.fold(0.0, node)
 
     def names(self):
--- a/tests/mesh/helpers.py
+++ b/tests/mesh/helpers.py
@@ -6,20 +6,20 @@
 
 import testtools
 
-from foxspread.model import Outcome
+from foxspread.mesh.configuration.items import ROUTE, Item
+from foxspread.mesh.configuration.routes import RouteTable
 from foxspread.mesh.dataplane.caller import CallerDesk
 from foxspread.mesh.dataplane.errand import Steering
 from foxspread.mesh.dataplane.hop import Hop, HopDesk
 from foxspread.mesh.dataplane.lanes import Lanes
 from foxspread.mesh.dataplane.lasthop import LastHop
 from foxspread.mesh.dataplane.serving import Serving
-from foxspread.mesh.configuration.items import ROUTE, Item
-from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.registry.endpoint_records import UP, EndpointRecord, EndpointRecords, unpack_instance
 from foxspread.mesh.registry.heartbeat import Heartbeat, InstanceState
 from foxspread.mesh.registry.incarnations import InstanceTable
-from foxspread.mesh.registry.endpoint_records import UP, EndpointRecord, EndpointRecords, unpack_instance
-from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.settings import BOUNDS
+from foxspread.model import Outcome
 from foxspread.sums import Chance
 
 ENDED = list(Outcome)
--- a/tests/mesh/hollow/test_traffic_meter.py
+++ b/tests/mesh/hollow/test_traffic_meter.py
@@ -110,7 +110,7 @@
                 for place in settings.counters.values():
                     with self.assertRaises(OSError):
                         await asyncio.open_connection(*place)
-                versions.append(hollow.node.records.of["hollow-1"].version)
+                versions.append(hollow.node.records.by_node["hollow-1"].version)
                 self.assertEqual((0, 1, 0), hollow.knows())
                 tasks = set(hollow.metered.tasks)
                 hollow.end()
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -4,9 +4,9 @@
 
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART, LastHop, Terms
 from foxspread.mesh.errors import Failure
+from foxspread.mesh.registry.drain_propagation import PROPAGATION_TIMEOUT_S, DrainPropagation
 from foxspread.mesh.registry.heartbeat import DRAINING, READY, Heartbeat
 from foxspread.mesh.registry.incarnations import InstanceTable
-from foxspread.mesh.registry.drain_propagation import PROPAGATION_TIMEOUT_S, DrainPropagation
 
 DRAIN_S = 2.0
 
--- a/tests/mesh/registry/test_incarnations.py
+++ b/tests/mesh/registry/test_incarnations.py
@@ -4,6 +4,7 @@
 
 import testtools
 
+from foxspread.mesh.errors import Failure
 from foxspread.mesh.registry.heartbeat import DRAINING, GONE, READY, parse_heartbeat
 from foxspread.mesh.registry.incarnations import (
     ENDED_ID_RETENTION_S,
@@ -11,7 +12,6 @@
     InstanceTable,
     unpack_instance,
 )
-from foxspread.mesh.errors import Failure
 
 BEAT = {"service": "s1", "address": "a:80", "berths": 4, "state": READY, "sequence": 1}
 SAID = {
--- a/tests/mesh/replication/test_learner.py
+++ b/tests/mesh/replication/test_learner.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from foxspread.mesh.configuration.items import KEPT, REFUSED, ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.items import COMPACTION, REFUSED, ROUTE, SERVICE, Item
 from foxspread.mesh.errors import InvariantViolation
 from foxspread.mesh.replication.learner import (
     NONE,
@@ -35,11 +35,11 @@
 
 
 def kept_refused(version: int, time: int) -> Item:
-    return Item(KEPT, "refused", version, {"t": time})
+    return Item(COMPACTION, "refused", version, {"t": time})
 
 
 def kept_dropped(version: int, floor: int, number: int) -> Item:
-    return Item(KEPT, "dropped", version, {"floor": floor, "at": [number, INCARNATION]})
+    return Item(COMPACTION, "dropped", version, {"floor": floor, "at": [number, INCARNATION]})
 
 
 def committed(*changes: tuple[int, list[Item]]) -> Learner:
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import LEASE, Item
-from foxspread.mesh.errors import conflict, outcome_unknown
+from foxspread.mesh.errors import Conflict, OutcomeUnknown
 from foxspread.mesh.replication import reconfiguration as r
 from foxspread.mesh.replication.messages import Report
 from foxspread.mesh.replication.quorum_contact import ReceivedReport
@@ -72,16 +72,16 @@
         for name, items in calls:
             self.asked += 1
             fate = self.fate.get(self.asked, "")
-            outcome = outcome_unknown("lost") if fate == "lost" else self.put(name, items)
-            self.cores[name].on_outcome(self.now, outcome if fate != "told late" else outcome_unknown("late"))
+            outcome = OutcomeUnknown("lost") if fate == "lost" else self.put(name, items)
+            self.cores[name].on_outcome(self.now, outcome if fate != "told late" else OutcomeUnknown("late"))
 
     def put(self, name: str, items: list[Item]):
         lease, *change = items
         if lease.kind != LEASE or lease.version != (self.lease.version if self.lease else 0) + 1:
-            return conflict("lease")
+            return Conflict("lease")
         sets = [self.members, *map(member_set_of, change)]
         if not is_quorum(sets, self.up - self.mute):
-            return outcome_unknown("no majority")
+            return OutcomeUnknown("no majority")
         self.lease = lease
         for new in sets[1:]:
             assert new.epoch == self.members.epoch + 1 and differs_by_one(self.members, new), "one step"
@@ -273,7 +273,7 @@
             core.act(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
         self.assertEqual(1, len(put))  # one under way at the most
-        put[0][1](outcome_unknown("lost"))
+        put[0][1](OutcomeUnknown("lost"))
         self.assertIsNone(core.submitted)
 
 
@@ -367,7 +367,7 @@
             mine = core.step(field.now, view)
             theirs = field.cores[other].step(field.now, field.view(other))
             if mine is not None:
-                core.on_outcome(field.now, outcome_unknown("lost"))
+                core.on_outcome(field.now, OutcomeUnknown("lost"))
             since = field.now - at
             if mine is not None and len(mine) > 1:
                 self.assertTrue(since < r.LEASE_S - r.LEASE_MARGIN_S, since)
--- a/tests/mesh/test_state_sync.py
+++ b/tests/mesh/test_state_sync.py
@@ -79,7 +79,7 @@
         self.assertEqual((True, True, 1), outcome("side"))
         news = sync.answer_pull("side", PULL).packed()
         self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
-        self.assertEqual([pack_row(rows[0].bare, (4, "l"))], chunks("side")[0]["rows"])
+        self.assertEqual([pack_row(rows[0].without_history, (4, "l"))], chunks("side")[0]["rows"])
         acceptor.members_known = False  # its disk came back empty: members are known from seeds only
         self.assertEqual((False, False, 0), outcome("side"))
         acceptor.members_known = True
@@ -175,13 +175,13 @@
         for version in ([own.incarnation + 10**12, 3], [own.incarnation + 10**12, 9]):
             process.receive("x", {"t": "have", "v": {own.node: version}})
             self.assertTrue(own.version > tuple(version))
-            self.assertEqual(own.version, sync.records.of[own.node].version)
+            self.assertEqual(own.version, sync.records.by_node[own.node].version)
         version = own.incarnation, own.number + 4
         process.receive("x", {"t": "have", "v": {own.node: list(version)}})
-        self.assertTrue(sync.records.of[own.node].version > version)
-        before = sync.records.of[own.node].version
+        self.assertTrue(sync.records.by_node[own.node].version > version)
+        before = sync.records.by_node[own.node].version
         process.receive("x", {"t": "have", "v": {own.node: list(before)}})
-        self.assertEqual(before, sync.records.of[own.node].version)
+        self.assertEqual(before, sync.records.by_node[own.node].version)
 
 
 class Sending(testtools.TestCase):
@@ -206,7 +206,7 @@
         self.assertEqual({"t": "pull", "v": {"n2": ()}, "at": 1000.0}, pull)
         news = other.sync.answer_pull("n1", Pull.decode(pull)).packed()
         process.receive("n2", news)
-        self.assertEqual((1_000_000, 1), process.sync.records.of["n2"].version)
+        self.assertEqual((1_000_000, 1), process.sync.records.by_node["n2"].version)
 
     def test_a_malformed_message_changes_nothing(self) -> None:
         process = Process()
