--- a/foxspread/mesh/replica_contact.py
+++ b/foxspread/mesh/replica_contact.py
@@ -68,7 +68,7 @@
     def in_contact(self) -> bool:
         """Whether this replica, now, can have missed no more than a moment of commits."""
         acceptor = self.replica.acceptor
-        if acceptor is None or not acceptor.members_known:
+        if acceptor is None or not acceptor.members_confirmed:
             return False  # an empty disk: the members are known from the seeds only
         self.quorum_contact.update(self.replica.acceptor.members, acceptor.learner.committed_number)
         return self.quorum_contact.is_current(self.clock())
--- a/tests/mesh/test_state_sync.py
+++ b/tests/mesh/test_state_sync.py
@@ -53,7 +53,7 @@
         process = Process("core", replicas=("k2",))
         sync = process.sync
         members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
-        acceptor = SimpleNamespace(members_known=True, learner=sync.learner, members=members)
+        acceptor = SimpleNamespace(members_confirmed=True, learner=sync.learner, members=members)
         server = SimpleNamespace(acceptor=acceptor, fresh=True)
         quorum_contact = QuorumContact(members.of[0])
         sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None, None)
@@ -80,9 +80,9 @@
         news = sync.answer_pull("side", PULL).packed()
         self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
         self.assertEqual([pack_row(rows[0].without_history, (4, "l"))], chunks("side")[0]["rows"])
-        acceptor.members_known = False  # its disk came back empty: members are known from seeds only
+        acceptor.members_confirmed = False  # its disk came back empty: members are known from seeds only
         self.assertEqual((False, False, 0), outcome("side"))
-        acceptor.members_known = True
+        acceptor.members_confirmed = True
         process.now += STALENESS_LIMIT_S  # it was frozen: nothing has reported it so yet
         self.assertEqual((False, False, 0), outcome("side"))
         self.assertEqual((True, False, 2), outcome("k2"))
--- a/tests/mesh/transport/test_messages.py
+++ b/tests/mesh/transport/test_messages.py
@@ -3,7 +3,7 @@
 import testtools
 
 from foxspread.mesh.transport.messages import (
-    CONNECTION_MESSAGES,
+    DECODERS,
     Have,
     Heartbeat,
     Hello,
@@ -52,11 +52,9 @@
     def test_each_message_is_decoded_to_what_was_packed(self):
         for message in BODIES.values():
             (fields,) = Decoder().feed(encode(message.packed()))
-            decode = CONNECTION_MESSAGES[fields["t"]].decode if fields["t"] in CONNECTION_MESSAGES else None
+            self.assertEqual(message, DECODERS[kind_of(fields)](fields))
             if isinstance(message, ShuffleRequest):
-                decode = decode_shuffle
-            if decode is not None:
-                self.assertEqual(message, decode(fields))
+                self.assertEqual(message, decode_shuffle(fields))
 
 
 class Malformed(testtools.TestCase):
