--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -8,6 +8,7 @@
 import argparse
 import asyncio
 import datetime
+import itertools
 import json
 import os
 import pathlib
@@ -19,11 +20,11 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parents[1]))
 
-from foxspread.consensus.client import call  # noqa: E402
-from foxspread.lab.processes.fleet import Child, Fleet, processor, resident  # noqa: E402
-from foxspread.lab.processes.real import CONTENT, ERRORS, Play  # noqa: E402
-from foxspread.lab.processes.scenario import Scenario  # noqa: E402
-from foxspread.net import http  # noqa: E402
+from foxspread.consensus.client import call
+from foxspread.lab.processes.fleet import Child, Fleet, processor, resident
+from foxspread.lab.processes.real import CONTENT, ERRORS, Play
+from foxspread.lab.processes.scenario import Scenario
+from foxspread.net import http
 
 
 def quantiles(values: list[float]) -> str:
@@ -34,10 +35,12 @@
 
 
 def body(name: str) -> bytes:
+    """The body of a put whose request id is this name."""
     return json.dumps({"content": CONTENT.format(name=name), "request": name, "who": "bench"}).encode()
 
 
 async def leader_of(fleet: Fleet) -> Child:
+    """Return the member that leads, once there is one."""
     play = Play.__new__(Play)
     play.fleet = fleet
     while not (name := await play.leader()):
@@ -61,6 +64,7 @@
 
 
 async def writes(members: int, writers: int, seconds: float) -> str:
+    """A row of figures: puts of so many writers at the leader."""
     async with Fleet(Scenario("bench", members), 1) as fleet:
         child, took = await leader_of(fleet), []
         until = time.monotonic() + seconds
@@ -125,6 +129,7 @@
 
 
 async def quiet(seconds: float) -> str:
+    """Rows of figures: memory and processor of members that nobody calls."""
     async with Fleet(Scenario("bench"), 2) as fleet:
         await well(fleet)
         leader = await leader_of(fleet)
@@ -186,6 +191,7 @@
 
 
 async def main(out: str, quick: bool) -> None:
+    """Take all measurements and write the page."""
     rows = [
         "# Coordinators: figures",
         "",
@@ -219,7 +225,7 @@
     tries = 5 if quick else 70
     kinds = ("kill", "stall", "cut")
     found = await asyncio.gather(*(without(kind, tries, at) for at, kind in enumerate(kinds)))
-    for kind, took in [*zip(kinds, found), ("all", sum(found, []))]:
+    for kind, took in [*zip(kinds, found, strict=True), ("all", list(itertools.chain.from_iterable(found)))]:
         rows.append(f"| {kind} | {len(took)} | {quantiles(took)} |")
         print(rows[-1], statistics.mean(took), flush=True)
     parts: list[tuple[str, Callable[[], Awaitable[str]]]] = [
@@ -239,5 +245,5 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--out", default="docs/figures/consensus.md")
     parser.add_argument("--quick", action="store_true")
-    told = parser.parse_args()
-    asyncio.run(main(told.out, told.quick))
+    arguments = parser.parse_args()
+    asyncio.run(main(arguments.out, arguments.quick))
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -21,6 +21,7 @@
 
 
 def settings(keys=False):
+    """Settings of a balancer as in service, with keyed lookups or without."""
     from foxspread.model import Category, Effect
 
     category = Category("c", 0.5, 1.5, 1.0, 0.0, Effect.LABELLED, "cell", 7.5)
@@ -30,6 +31,7 @@
 
 
 def fleet(size, state, now):
+    """A list of so many servers over the zones of the state."""
     from foxspread.model import ListedServer
 
     started = now if state == "all cold" else 0.0
@@ -93,6 +95,7 @@
 
 
 def worker():
+    """Answer tasks from standard input, one JSON array a line, until it ends."""
     for line in sys.stdin:
         kind, size, state, lookups = json.loads(line)
         found = lists(size) if kind == "lists" else cost(size, state, lookups)
@@ -100,6 +103,7 @@
 
 
 def start(folder):
+    """Start a worker that imports foxspread from this folder."""
     path = [str(folder), str(TOP / "bench")]
     code = f"import sys; sys.path[:0] = {path!r}; import decisions; decisions.worker()"
     pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
@@ -107,12 +111,14 @@
 
 
 def ask(process, *task):
+    """Give a worker a task and return what it found."""
     process.stdin.write(json.dumps(task) + "\n")
     process.stdin.flush()
     return json.loads(process.stdout.readline())
 
 
 def table(ours, theirs, rounds, lookups):
+    """Print a row for each state and size, the best of some rounds on both sides."""
     rows = []
     for state in STATES:
         for size in SIZES if state in ("plain", "keys") else (15, 4000):
@@ -133,6 +139,7 @@
 
 
 def main():
+    """Compare this tree with another revision."""
     from foxspread.lab.experiments import runs as experiments
 
     parser = argparse.ArgumentParser()
--- a/bench/eight_orders.py
+++ b/bench/eight_orders.py
@@ -1,5 +1,5 @@
-"""How long an order takes to its acknowledgement, alone and eight at once, in virtual time: the register's
-cores with links of 0.5 to 4 ms and a sync of 5 ms (or as told), calls as an operator's. Prints a table.
+"""How long a change takes to its acknowledgement, alone and eight at once, in virtual time: the replicas'
+cores with links of 0.5 to 4 ms and a sync of 5 ms (or as given), calls as an operator's. Prints a table.
 
     python bench/eight_orders.py [--runs 60]
 """
@@ -38,6 +38,7 @@
 @click.command()
 @click.option("--runs", default=60, help="Seeds of each row, 12 rounds each.")
 def main(runs: int) -> None:
+    """Print the table."""
     print(
         "| machines | sync ms | at once | trouble | p50 ms | p99 ms | max ms |\n"
         "| --- | --- | --- | --- | --- | --- | --- |"
--- a/bench/lab_figures.py
+++ b/bench/lab_figures.py
@@ -21,6 +21,7 @@
 
 
 def names(only: list[str]) -> list[str]:
+    """The scenarios to play: those named, or all but a few."""
     found = [path.stem for path in sorted((TOP / "scenarios").glob("*.toml")) if path.stem not in LEFT_OUT]
     return [name for name in found if not only or name in only]
 
@@ -55,6 +56,7 @@
 
 
 def main() -> int:
+    """Play the scenarios and write their pages; return the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--sockets", type=int, default=2, help="seeds on sockets, 0 for none")
