--- a/foxspread/mesh/simulation/invariants.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -10,7 +10,7 @@
 import orjson
 
 from foxspread.mesh.configuration.consistency import find_inconsistency
-from foxspread.mesh.configuration.items import Item, Key, LEASE, MEMBERS, is_for_sidecars
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item, Key, is_for_sidecars
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.simulation.events import format_item
 from foxspread.mesh.simulation.observations import Call, FaultPeriod, Recovery, Submission, Violation
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from foxspread.mesh.configuration.items import LEASE, MEMBERS, THEIRS, Item, Key
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, OPERATOR_KINDS, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
 from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.errors import InvariantViolation, Failure
@@ -17,18 +17,17 @@
     Learner,
     SnapshotChunk,
     Offset,
-    ProposalNumber,
 )
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
-from foxspread.mesh.replication.cluster_view import ClusterView
-from foxspread.mesh.replication.messages import ContactReply, ContactRequest, Report, decode
+from foxspread.mesh.replication.messages import ContactReply
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
 from foxspread.mesh.simulation.simulated_storage import SYNC_S, SimulatedStorage
 from foxspread.mesh.simulation.events import format_item
 from foxspread.mesh.simulation.observations import FaultPeriod
 from foxspread.mesh.registry.own_record import OwnRecord
+from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
 from foxspread.sums import Chance
@@ -40,7 +39,7 @@
 RECONNECT_S = 1.5  # so often connections come up anew, and whoever was missed is told
 CHUNK_LIMIT_BYTES = 600  # of rows in a chunk: so small that a set takes many
 NO_QUORUM_TIMEOUT_S = 0.3  # for a call on a machine without contact to a majority, as in a node
-CHECKED_KINDS = THEIRS | {MEMBERS, LEASE}  # what the invariants are judged by
+CHECKED_KINDS = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the invariants are judged by
 
 
 @dataclass(frozen=True)
@@ -57,6 +56,15 @@
     reconfiguration: type[Reconfiguration] = Reconfiguration
 
 
+@dataclass(frozen=True)
+class SimSettings:
+    """The `ContactSettings` of a machine: each is a zone by itself."""
+
+    zone: str
+    tolerate: int
+    tolerate_zones: int = 0
+
+
 class Process:
     """One process that holds a copy: the core that a node runs too, in virtual time."""
 
@@ -161,7 +169,7 @@
 
     def _show(self, new: list[Item]) -> None:
         self.fleet.checker.now = self.simulation.now
-        if new := [item.bare for item in new if item.kind in CHECKED_KINDS]:
+        if new := [item.without_history for item in new if item.kind in CHECKED_KINDS]:
             self.fleet.log(
                 f"{self.name} shows {' '.join(map(format_item, new))}, "
                 f"upto {self.learner.committed_number[0]}"
@@ -199,7 +207,7 @@
         super().start()
 
     def _tick(self) -> None:
-        if self.sync.readiness.asks(self.clock(), False):
+        if self.sync.readiness.should_request_basis(self.clock(), False):
             to = self.simulation.choose(self.fleet.machines).name
             self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
@@ -210,7 +218,7 @@
 
     def receive(self, sender: str, message: Fields) -> None:
         super().receive(sender, message)
-        if not self.was_ready and self.sync.readiness.ready(self.sync.has_items):
+        if not self.was_ready and self.sync.readiness.is_ready(self.sync.has_items):
             self.was_ready = True
             self.fleet.checker.check_freshness(self.incarnation_name, "is ready", self.learner.items)
 
@@ -267,10 +275,16 @@
         )
         self.core.proposer_class = fleet.cores.proposer
         self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
-        self.quorum_contact = fleet.cores.quorum_contact(self.name, int(draw() * 2**30))
-        self.reconfiguration = fleet.cores.reconfiguration(self.name, self.incarnation_name, draw)
-        self.in_quorum_contact = False
-        self.sync.replica = self
+        self.contact = ReplicaContact(
+            self.clock,
+            lambda: SimSettings(self.name, fleet.plan.tolerate),
+            lambda: self.leaving,
+            self.core,
+            fleet.cores.quorum_contact(self.name, int(draw() * 2**30)),
+            fleet.cores.reconfiguration(self.name, self.incarnation_name, draw),
+            lambda: f"{self.incarnation_name} anew",
+        )
+        self.sync.replica = self.contact
         self.core.begin(acceptor)
 
     def kill(self) -> None:
@@ -292,7 +306,7 @@
             self.fleet.checker.fault_ended(self.catch_up_period)
             self.catch_up_period = None
         now = self.clock()
-        if (request := self.quorum_contact.request(now, self._report())) is not None:
+        if (request := self.contact.request(now)) is not None:
             for each in self.fleet.machines:
                 if each is not self:
                     self._send(each.name, request.packed())
@@ -303,86 +317,27 @@
             self._reconfigure(now)
         super()._tick()
 
-    # Whether it may speak.
+    # Contact with a quorum.
 
     @property
     def ready(self) -> bool:
+        """Whether a node would serve here."""
         return self.sync.ready()
 
-    def in_contact(self) -> bool:
-        if self.core is None or self.core.acceptor is None:
-            return False
-        self.quorum_contact.update(self.core.acceptor.members, self.learner.committed_number)
-        return self.quorum_contact.is_current(self.clock())
-
-    def _report(self) -> Report:
-        acceptor = self.core.acceptor
-        return Report(
-            self.name,
-            acceptor.serves,
-            acceptor.epoch,
-            acceptor.learner.committed_number,
-            max(acceptor.accepted, acceptor.learner.committed_number),
-            self.name,
-            self.leaving,
-            self.quorum_contact.hears(self.clock()),
-            acceptor.disk,
-        )
-
     def _announce_contact(self) -> None:
-        if (current := self.in_contact()) != self.in_quorum_contact:
-            self.in_quorum_contact = current
-            if current:
-                self.sync.announce_committed_set()
-
-    def learn(self, committed_number: ProposalNumber, rows: list, complete_set: bool) -> None:
-        """Of `LocalReplica`."""
-        self.core.learn(committed_number, rows, complete_set)
-
-    def on_peer_committed(self, committed_number: ProposalNumber) -> None:
-        """Of `LocalReplica`."""
-        self.core.on_peer_committed(committed_number)
-
-    @property
-    def recovered(self) -> bool:
-        """Of `LocalReplica`: a machine start_history with its disk read."""
-        return True
-
-    @property
-    def fresh(self) -> bool:
-        """Of `LocalReplica`."""
-        return self.core.fresh
-
-    def age(self) -> float | None:
-        """Of `LocalReplica`."""
-        return self.quorum_contact.staleness_s(self.clock())
-
-    # Who the members are.
-
-    def _view(self, now: float) -> ClusterView:
-        acceptor = self.core.acceptor
-        self.quorum_contact.update(acceptor.members, self.learner.committed_number)
-        return ClusterView.of(
-            now,
-            self._report(),
-            acceptor.members,
-            self.learner,
-            self.quorum_contact.reports,
-            self.quorum_contact.staleness_s(now),
-            self.fleet.plan.tolerate,
-            0,
-        )
+        if self.contact.take_change():
+            self.sync.announce_committed_set()
 
     def _reconfigure(self, now: float) -> None:
-        view = self._view(now)
-        if self.leaving and self.reconfiguration.may_leave(now, view):
+        view = self.contact.cluster_view()
+        if self.leaving and self.contact.reconfiguration.may_leave(now, view):
             return self.fleet.faults.has_left(self)
-        if (items := self.reconfiguration.step(now, view)) is None:
+        if (items := self.contact.reconfiguration.step(now, view)) is None:
             return
 
         def on_outcome(outcome: bool | Failure) -> None:
             self.fleet.checker.lease_used(self.incarnation_name, items, outcome)
-            self.reconfiguration.on_outcome(self.clock(), outcome)
+            self.contact.reconfiguration.on_outcome(self.clock(), outcome)
 
         self.core.call(items, on_outcome)
 
@@ -393,21 +348,22 @@
         if kind == Hello.kind or kind in self.sync.handlers:
             super().receive(sender, message)
             if kind == Hello.kind and isinstance(self.fleet.processes[sender], Machine):
-                self.quorum_contact.next_request_at = self.clock()
-                self.core.on_connected(sender)
-        elif kind == ContactRequest.kind:
-            self._send(sender, self.quorum_contact.reply(decode(message), self._report()).packed())
-        elif kind == ContactReply.kind:
-            self.quorum_contact.receive(self.clock(), sender, decode(message))
-            self._announce_contact()
+                self.contact.replica_connected(self.clock(), sender)
         else:
-            self.core.receive(sender, message)
+            if (answer := self.contact.handle(sender, message)) is not None:
+                self._send(sender, answer.packed())
+            if kind == ContactReply.kind:
+                self._announce_contact()
 
     def submit(self, items: tuple[Item, ...], on_answer: Callable) -> None:
         """By an operator; `tell` gets the outcome, and of a read what is held."""
-        timeout_s = CALL_TIMEOUT_S if self.in_contact() else NO_QUORUM_TIMEOUT_S
+        timeout_s = CALL_TIMEOUT_S if self.contact.in_contact() else NO_QUORUM_TIMEOUT_S
         self.core.call(list(items), lambda outcome: on_answer(outcome, self.readable_items()), timeout_s)
 
     def readable_items(self) -> dict[Key, Item]:
         """What a read tells."""
-        return {key: item.bare for key, item in self.learner.items.items() if item.kind in THEIRS}
+        return {
+            key: item.without_history
+            for key, item in self.learner.items.items()
+            if item.kind in OPERATOR_KINDS
+        }
--- a/foxspread/mesh/simulation/node_mutants.py
+++ b/foxspread/mesh/simulation/node_mutants.py
@@ -111,5 +111,5 @@
 class ReadyWhateverStaleness(Readiness):
     """Ready by whatever it was told, however stale."""
 
-    def told(self, now: float, asked_at: float, age: float | None) -> None:
-        super().told(now, now, 0.0)
+    def record_basis(self, now: float, requested_at: float, age_s: float | None) -> None:
+        super().record_basis(now, now, 0.0)
--- a/foxspread/mesh/simulation/proposer_mutants.py
+++ b/foxspread/mesh/simulation/proposer_mutants.py
@@ -107,7 +107,9 @@
     """What was in force under a version is not known once a newer one is."""
 
     def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        return super()._evaluate({key: item.bare for key, item in proposed.items()}, delta, call, now)
+        return super()._evaluate(
+            {key: item.without_history for key, item in proposed.items()}, delta, call, now
+        )
 
 
 class ForgetsRefusal(Proposer):
--- a/foxspread/mesh/simulation/state_invariants.py
+++ b/foxspread/mesh/simulation/state_invariants.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import THEIRS, Item, Key
+from foxspread.mesh.configuration.items import OPERATOR_KINDS, Item, Key
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     for item, accepted in state.answers:
         if accepted and confirmed.setdefault((item.key, item.version), item) != item:
             yield f"two contents of {item.kind} {item.name}@r{item.version} were confirmed"
-        if item.kind not in THEIRS:  # by compare and set: one that has come about is refused again
+        if item.kind not in OPERATOR_KINDS:  # by compare and set: one that has come about is refused again
             continue
         if accepted and (item, False) in state.answers:
             yield f"{item.name}@r{item.version} was taken and was refused"
--- a/tests/mesh/test_state_sync.py
+++ b/tests/mesh/test_state_sync.py
@@ -53,10 +53,10 @@
         process = Process("core", replicas=("k2",))
         sync = process.sync
         members = MemberSet(0, ("127.0.0.1:8146", "m2", "m3"))
-        acceptor = SimpleNamespace(members_known=True, learner=sync.learner)
-        server = SimpleNamespace(acceptor=acceptor, members=members, fresh=True)
+        acceptor = SimpleNamespace(members_confirmed=True, learner=sync.learner, members=members)
+        server = SimpleNamespace(acceptor=acceptor, fresh=True)
         quorum_contact = QuorumContact(members.of[0])
-        sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None)
+        sync.replica = ReplicaContact(lambda: process.now, None, None, server, quorum_contact, None, None)
         past = (0, ((1, "d"),))
         rows = [Item(SERVICE, "s", 2, {"name": "s"}, past), Item(LEASE, MEMBERS, 1, {"holder": "m2"})]
         sync.learner.fold((4, "l"), [(each, (4, "l")) for each in rows])
@@ -79,10 +79,10 @@
         self.assertEqual((True, True, 1), outcome("side"))
         news = sync.answer_pull("side", PULL).packed()
         self.assertEqual((7.0, 1.0), (news["at"], news["age"]))
-        self.assertEqual([pack_row(rows[0].bare, (4, "l"))], chunks("side")[0]["rows"])
-        acceptor.members_known = False  # its disk came back empty: members are known from seeds only
+        self.assertEqual([pack_row(rows[0].without_history, (4, "l"))], chunks("side")[0]["rows"])
+        acceptor.members_confirmed = False  # its disk came back empty: members are known from seeds only
         self.assertEqual((False, False, 0), outcome("side"))
-        acceptor.members_known = True
+        acceptor.members_confirmed = True
         process.now += STALENESS_LIMIT_S  # it was frozen: nothing has reported it so yet
         self.assertEqual((False, False, 0), outcome("side"))
         self.assertEqual((True, False, 2), outcome("k2"))
@@ -175,13 +175,13 @@
         for version in ([own.incarnation + 10**12, 3], [own.incarnation + 10**12, 9]):
             process.receive("x", {"t": "have", "v": {own.node: version}})
             self.assertTrue(own.version > tuple(version))
-            self.assertEqual(own.version, sync.records.of[own.node].version)
+            self.assertEqual(own.version, sync.records.by_node[own.node].version)
         version = own.incarnation, own.number + 4
         process.receive("x", {"t": "have", "v": {own.node: list(version)}})
-        self.assertTrue(sync.records.of[own.node].version > version)
-        before = sync.records.of[own.node].version
+        self.assertTrue(sync.records.by_node[own.node].version > version)
+        before = sync.records.by_node[own.node].version
         process.receive("x", {"t": "have", "v": {own.node: list(before)}})
-        self.assertEqual(before, sync.records.of[own.node].version)
+        self.assertEqual(before, sync.records.by_node[own.node].version)
 
 
 class Sending(testtools.TestCase):
@@ -206,7 +206,7 @@
         self.assertEqual({"t": "pull", "v": {"n2": ()}, "at": 1000.0}, pull)
         news = other.sync.answer_pull("n1", Pull.decode(pull)).packed()
         process.receive("n2", news)
-        self.assertEqual((1_000_000, 1), process.sync.records.of["n2"].version)
+        self.assertEqual((1_000_000, 1), process.sync.records.by_node["n2"].version)
 
     def test_a_malformed_message_changes_nothing(self) -> None:
         process = Process()
