--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -1,5 +1,5 @@
-"""Processes of the fleet in virtual time: machines with a disk, which play the cores, and sidecars that hold
-copies.
+"""Processes of a simulated fleet: machines with storage, which run all cores of a replica, and sidecars,
+which only learn. They wire the cores as `Node` does, with virtual time in place of an event loop.
 """
 
 from collections.abc import Callable
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Cores:
-    """What is played: the cores as they are, or a broken one among them."""
+    """The classes that a run plays: those of a node, or a mutant among them."""
 
     acceptor: type[Acceptor] = Acceptor
     proposer: type[Proposer] = Proposer
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class SimSettings:
+class SimulatedSettings:
     """The `ContactSettings` of a machine: each is a zone by itself."""
 
     zone: str
@@ -66,7 +66,7 @@
 
 
 class Process:
-    """One process that holds a copy: the core that a node runs too, in virtual time."""
+    """One process with the committed configuration, which it keeps in step with its peers as a node does."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
         self.fleet, self.simulation, self.name = fleet, fleet.simulation, name
@@ -101,13 +101,15 @@
 
     @property
     def incarnation_name(self) -> str:
+        """Its name and how often it has ended."""
         return f"{self.name}.{self.incarnation}"
 
     def clock(self) -> float:
+        """Its own clock, in seconds: not in step with others, and a little fast or slow."""
         return self.offset + self.rate * self.simulation.now
 
     def execute(self, call: Callable[[], None]) -> None:
-        """Now, or once it is not frozen; never in a later life."""
+        """Now, or once it is no longer frozen; never in a later incarnation."""
         if not self.up:
             return
         if self.frozen:
@@ -120,12 +122,14 @@
             self.kill()
 
     def schedule(self, seconds: float, call: Callable[[], None]) -> None:
+        """Execute a call so much later, if this incarnation lives then."""
         incarnation = self.incarnation
         self.simulation.after(
             seconds, lambda: self.execute(call) if incarnation == self.incarnation else None
         )
 
     def thaw(self) -> None:
+        """Go on, with all that came meanwhile."""
         if self.frozen:
             self.frozen = False
             inbox, self.inbox = self.inbox, []
@@ -133,11 +137,13 @@
                 self.execute(call)
 
     def kill(self) -> None:
+        """End at once; its connections and what they carry are lost."""
         self.incarnation += 1
         self.up, self.frozen, self.inbox = False, False, []
         self.fleet.network.incarnations[self.name] = self.incarnation
 
     def start(self) -> None:
+        """Begin a new incarnation, which knows nothing yet."""
         self.up = True
         self.sync = self._new_sync()
         self.fleet.checker.copy_started(self.incarnation_name)
@@ -162,6 +168,7 @@
         self.sync.peer_connected(name)
 
     def receive(self, sender: str, message: Fields) -> None:
+        """A message of another process has come."""
         if message["t"] == Hello.kind:
             self._peer_connected(sender)
         else:
@@ -182,7 +189,7 @@
 
 
 def _is_empty(message: Fields) -> bool:
-    """Messages that a node sends and that tell nothing here, where nobody has an endpoint record: left out,
+    """Whether a message that a node sends says nothing here, where nobody has an endpoint record: left out,
     so that a seed draws what it always drew."""
     if message["t"] == PullResponse.kind:
         return "upto" not in message
@@ -190,6 +197,8 @@
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
+    """The learner, which sends snapshots in chunks that are small enough to be interrupted."""
+
     def chunk(
         after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, bare: bool = False
     ) -> SnapshotChunk:
@@ -200,9 +209,10 @@
 
 
 class Sidecar(Process):
-    """A copy beside no disk: all that it knows it has from others, in each life anew."""
+    """A process without storage: all that it knows it learns from others, in each incarnation anew."""
 
     def start(self) -> None:
+        """Begin a new incarnation, not ready yet."""
         self.was_ready = False
         super().start()
 
@@ -217,6 +227,7 @@
         self.fleet.checker.check_freshness(self.incarnation_name, "shows the set", self.learner.items)
 
     def receive(self, sender: str, message: Fields) -> None:
+        """Whatever comes may make it ready; then it must not be stale."""
         super().receive(sender, message)
         if not self.was_ready and self.sync.readiness.is_ready(self.sync.has_items):
             self.was_ready = True
@@ -224,7 +235,7 @@
 
 
 class Machine(Process):
-    """A machine with a disk. A spare is there, but not started until one is gone."""
+    """A machine with storage. A spare is not started until another is lost for good."""
 
     def __init__(self, fleet: "Fleet", name: str, spare: bool = False) -> None:
         super().__init__(fleet, name)
@@ -247,6 +258,7 @@
 
     @property
     def is_healthy(self) -> bool:
+        """Whether no fault keeps it from voting in time."""
         return (
             self.up
             and not self.frozen
@@ -258,6 +270,7 @@
         )
 
     def start(self, first: bool = False) -> None:
+        """Begin a new incarnation from its storage; `first`: at the mesh's first start."""
         super().start()
         fleet, simulation = self.fleet, self.simulation
         saved = self.storage.open(fleet.seeds, first)
@@ -277,7 +290,7 @@
         self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
         self.contact = ReplicaContact(
             self.clock,
-            lambda: SimSettings(self.name, fleet.plan.tolerate),
+            lambda: SimulatedSettings(self.name, fleet.plan.tolerate),
             lambda: self.leaving,
             self.core,
             fleet.cores.quorum_contact(self.name, int(draw() * 2**30)),
@@ -288,13 +301,16 @@
         self.core.begin(acceptor)
 
     def kill(self) -> None:
+        """End at once; what its storage has not synced is lost."""
         super().kill()
         self.leaving = False
         self.storage.lose_power()
 
-    def _write(self, writes: list, then: Callable[[], None]) -> None:
+    def _write(self, writes: list, on_synced: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.storage.write(writes, lambda: self.execute(then) if incarnation == self.incarnation else None)
+        self.storage.write(
+            writes, lambda: self.execute(on_synced) if incarnation == self.incarnation else None
+        )
 
     def _schedule_call(self, call: Callable[..., None], *arguments: Any) -> None:
         self.schedule(0.0, lambda: call(*arguments))
@@ -341,9 +357,10 @@
 
         self.core.call(items, on_outcome)
 
-    # What it hears.
+    # Messages and calls.
 
     def receive(self, sender: str, message: Fields) -> None:
+        """A message of another process has come, for the core that it concerns."""
         kind = message["t"]
         if kind == Hello.kind or kind in self.sync.handlers:
             super().receive(sender, message)
@@ -356,12 +373,12 @@
                 self._announce_contact()
 
     def submit(self, items: tuple[Item, ...], on_answer: Callable) -> None:
-        """By an operator; `tell` gets the outcome, and of a read what is held."""
+        """Submit a client's call; `on_answer` gets the outcome, and what a read would return."""
         timeout_s = CALL_TIMEOUT_S if self.contact.in_contact() else NO_QUORUM_TIMEOUT_S
         self.core.call(list(items), lambda outcome: on_answer(outcome, self.readable_items()), timeout_s)
 
     def readable_items(self) -> dict[Key, Item]:
-        """What a read tells."""
+        """What a read returns."""
         return {
             key: item.without_history
             for key, item in self.learner.items.items()
