--- a/foxspread/mesh/simulation/faults.py
+++ b/foxspread/mesh/simulation/faults.py
@@ -32,7 +32,9 @@
         self.fleet.say(f"** {event.kind} {machine.name} for {event.seconds:.3f}")
 
     def _bearable(self, *more: Machine) -> bool:
-        return len({*(each for each in self.fleet.machines if each.lost), *more}) <= self.fleet.plan.tolerate
+        return (
+            len({*(each for each in self.fleet.machines if each.is_lost), *more}) <= self.fleet.plan.tolerate
+        )
 
     def _until(self, seconds: float, whom: Machine | None, end: Callable[[], None]) -> None:
         """`end` comes after so long, or at the end of all faults; till then there is trouble."""
@@ -45,7 +47,7 @@
                 self.judge.over(row)
                 if whom is not None and self.fleet.plan.members_change:
                     whom.returning_until = self.world.now + CATCH_UP_S
-                if self.fleet.plan.probes and whom is not None and whom.works:
+                if self.fleet.plan.probes and whom is not None and whom.is_healthy:
                     self.fleet.operators.probe(whom)
 
         self.ends[number] = over
@@ -147,13 +149,13 @@
 
     def _cut_some(self, machine: Machine, seconds: float) -> bool | None:
         """Towards some of the others only, either way."""
-        others = [name for name in self.fleet.parties if name != machine.name and self.world.draw() < 0.5]
+        others = [name for name in self.fleet.processes if name != machine.name and self.world.draw() < 0.5]
         return self._cut_off([machine], seconds, "io", others)
 
     def _island(self, machine: Machine, seconds: float) -> bool | None:
         """A machine and a sidecar that reaches nobody else; the sidecar begins a new life in there."""
         sidecar = self.world.pick(self.fleet.sidecars)
-        others = [name for name in self.fleet.parties if name not in (machine.name, sidecar.name)]
+        others = [name for name in self.fleet.processes if name not in (machine.name, sidecar.name)]
         if self._cut_off([machine], seconds, "io", others) is False:
             return False
         pairs = {(name, sidecar.name) for name in others} | {(sidecar.name, name) for name in others}
@@ -216,7 +218,7 @@
         others = self.fleet.machines[at + 1 :] + self.fleet.machines[:at]
 
         def then() -> None:
-            if machine.lost and not self.whole:
+            if machine.is_lost and not self.whole:
                 return self.world.after(0.02, then)
             for each in others[: self.fleet.plan.tolerate]:
                 self._kill(each, seconds, self.world.draw() < 0.5)
@@ -230,19 +232,19 @@
             return False
         names = {each.name for each in side}
         if others is None:
-            others = [name for name in self.fleet.parties if name not in names]
+            others = [name for name in self.fleet.processes if name not in names]
         pairs = {(a, b) for a in others for b in names if "i" in ways} | {
             (a, b) for a in names for b in others if "o" in ways
         }
         pairs -= self.fleet.links.cut
         self.fleet.links.cut |= pairs
         for each in side:
-            each.cut += 1
+            each.partitions += 1
 
         def join() -> None:
             self.fleet.links.cut -= pairs
             for each in side:
-                each.cut -= 1
+                each.partitions -= 1
 
         for each in side:
             self._until(seconds, each, lambda: None)
--- a/foxspread/mesh/simulation/fleet.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -10,7 +10,7 @@
 
 from foxspread.mesh.simulation.faults import Faults
 from foxspread.mesh.simulation.invariants import ANSWERED_S, Break, Call, Judge
-from foxspread.mesh.simulation.machines import Cores, Machine, Party, Sidecar
+from foxspread.mesh.simulation.machines import Cores, Machine, SimProcess, Sidecar
 from foxspread.mesh.simulation.operators import Operators
 from foxspread.mesh.simulation.schedule import Event, Plan, drawn
 from foxspread.mesh.simulation.world import Links, World
@@ -44,7 +44,7 @@
         ]
         self.seeds = tuple(each.name for each in self.machines[: plan.seeds or plan.machines])
         self.sidecars = [Sidecar(self, f"s{n + 1}") for n in range(plan.sidecars)]
-        self.parties: dict[str, Party] = {each.name: each for each in (*self.machines, *self.sidecars)}
+        self.processes: dict[str, SimProcess] = {each.name: each for each in (*self.machines, *self.sidecars)}
         for each in self.machines:
             each.offset, each.rate = self.world.draw() * 1000, self.world.within(0.98, 1.02)
             if each.spare:
@@ -60,15 +60,15 @@
             self.told.append(f"{self.world.now:8.4f} {text}")
 
     def _deliver(self, sender: str, to: str, message: dict[str, Any]) -> None:
-        there = self.parties[to]
+        process = self.processes[to]
 
         def hear() -> None:
             if self.told is not None and message["t"] not in QUIET:
                 self.say(f"  {sender} > {to} {_line(message)}")
             self.judge.now = self.world.now
-            there.heard(sender, message)
+            process.receive(sender, message)
 
-        there.does(hear)
+        process.execute(hear)
 
     def play(self, events: list[Event]) -> Played:
         for event in events:
@@ -77,7 +77,7 @@
         self.faults.end()
         self.world.run(self.plan.seconds + ALIKE_S)
         self.judge.now = self.world.now
-        self.judge.alike([each.named for each in self.parties.values() if each.up])
+        self.judge.alike([each.incarnation_name for each in self.processes.values() if each.up])
         for each in self.machines:
             if each.up:
                 self.operators.call((), each)
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -1,5 +1,7 @@
-"""Processes of the fleet in virtual time: machines with a disk, which play the cores, and sidecars that hold
-copies.
+"""Processes of the fleet in virtual time: machines with a disk, and sidecars without one.
+
+They run the cores of a node, `StateSync` and `ReplicaContact`, on a simulated disk and network; what is here
+is their life, and what the judge hears of it.
 """
 
 from collections.abc import Callable
@@ -8,7 +10,6 @@
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, OPERATOR_KINDS, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
-from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.errors import InvariantViolation, Failure
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.quorum_contact import QuorumContact
@@ -20,6 +21,7 @@
 )
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
+from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S
 from foxspread.mesh.replication.messages import ContactReply
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
@@ -28,17 +30,24 @@
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.state_sync import StateSync
-from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
+from foxspread.mesh.transport.messages import (
+    COMMITTED_NUMBER,
+    KIND,
+    VERSIONS,
+    Fields,
+    Have,
+    Hello,
+    PullResponse,
+)
 from foxspread.sums import Chance
 
 if TYPE_CHECKING:
     from foxspread.mesh.simulation.fleet import Fleet
 
 TICK_S = 0.1
-RECONNECT_S = 1.5  # links come up anew, whoever was missed is told
-PIECE_BYTES = 600  # of rows in a piece: so small that a set comes in many
-CUT_OFF_S = 0.3  # for a call on a machine without contact to a majority, as in a node
-SHOWN = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the judge is shown
+RECONNECT_S = 1.5  # connections open anew: whoever was missed hears all versions again
+CHUNK_LIMIT_BYTES = 600  # so small that a committed set comes in many chunks
+JUDGED_KINDS = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the judge looks at
 
 
 @dataclass(frozen=True)
@@ -64,8 +73,8 @@
     tolerate_zones: int = 0
 
 
-class Party:
-    """One process that holds a copy: the core that a node runs too, in virtual time."""
+class SimProcess:
+    """One process that holds the committed set. Its clock runs at `rate` from `offset`."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
         self.fleet, self.world, self.name = fleet, fleet.world, name
@@ -80,9 +89,9 @@
             OwnRecord(self.name, None, 0),
             self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.world.draw),
             self._send,
-            lambda call: self.later(0.0, call),
-            lambda peer: isinstance(self.fleet.parties[peer], Machine),
-            self._show,
+            lambda call: self.after(0.0, call),
+            lambda peer: isinstance(self.fleet.processes[peer], Machine),
+            self._report_committed,
             lambda node: None,
             lambda: None,
             self.fleet.cores.readiness(),
@@ -94,19 +103,16 @@
         return self.sync.learner
 
     @property
-    def anti_entropy(self) -> AntiEntropy:
-        """Who lacks what."""
-        return self.sync.anti_entropy
-
-    @property
-    def named(self) -> str:
+    def incarnation_name(self) -> str:
+        """How the judge names this incarnation."""
         return f"{self.name}.{self.incarnation}"
 
     def clock(self) -> float:
+        """Seconds, on this process's own clock."""
         return self.offset + self.rate * self.world.now
 
-    def does(self, call: Callable[[], None]) -> None:
-        """Now, or once it is not frozen; never in a later life."""
+    def execute(self, call: Callable[[], None]) -> None:
+        """Now, or once it is thawed; never in a later incarnation."""
         if not self.up:
             return
         if self.frozen:
@@ -118,59 +124,64 @@
             self.fleet.judge.broken("no broken invariant", f"{self.name}: {error}")
             self.kill()
 
-    def later(self, seconds: float, call: Callable[[], None]) -> None:
+    def after(self, seconds: float, call: Callable[[], None]) -> None:
+        """Has it executed in this incarnation, after so much virtual time."""
         incarnation = self.incarnation
-        self.world.after(seconds, lambda: self.does(call) if incarnation == self.incarnation else None)
+        self.world.after(seconds, lambda: self.execute(call) if incarnation == self.incarnation else None)
 
     def thaw(self) -> None:
+        """Does what came while it was frozen."""
         if self.frozen:
             self.frozen = False
             inbox, self.inbox = self.inbox, []
             for call in inbox:
-                self.does(call)
+                self.execute(call)
 
     def kill(self) -> None:
+        """As by SIGKILL: what it had not written is lost."""
         self.incarnation += 1
         self.up, self.frozen, self.inbox = False, False, []
         self.fleet.links.lives[self.name] = self.incarnation
 
     def start(self) -> None:
+        """A new incarnation, which knows nothing."""
         self.up = True
         self.sync = self._new_sync()
-        self.fleet.judge.started(self.named)
-        self.later(0.0, self._connect)
-        self.later(self.world.draw() * TICK_S, self._tick)
+        self.fleet.judge.started(self.incarnation_name)
+        self.after(0.0, self._connect)
+        self.after(self.world.draw() * TICK_S, self._tick)
 
     def _tick(self) -> None:
         self.sync.flush()
-        self.later(TICK_S / self.rate, self._tick)
+        self.after(TICK_S / self.rate, self._tick)
 
     # Peers.
 
     def _connect(self) -> None:
-        self.later(RECONNECT_S, self._connect)
-        for core in self.fleet.machines:
-            if core.name != self.name:
-                self._peer_connected(core.name)
-                self._send(core.name, {"t": Hello.kind})
+        self.after(RECONNECT_S, self._connect)
+        for machine in self.fleet.machines:
+            if machine.name != self.name:
+                self._peer_connected(machine.name)
+                self._send(machine.name, {KIND: Hello.kind})
 
     def _peer_connected(self, name: str) -> None:
         self.sync.peer_disconnected(name)
         self.sync.peer_connected(name)
 
-    def heard(self, sender: str, message: Fields) -> None:
-        if message["t"] == Hello.kind:
+    def receive(self, sender: str, message: Fields) -> None:
+        """A message that the network delivers."""
+        if message[KIND] == Hello.kind:
             self._peer_connected(sender)
         else:
-            self.sync.handlers[message["t"]](sender, message)
+            self.sync.handlers[message[KIND]](sender, message)
 
-    def _show(self, new: list[Item]) -> None:
+    def _report_committed(self, new: list[Item]) -> None:
         self.fleet.judge.now = self.world.now
-        if new := [item.without_history for item in new if item.kind in SHOWN]:
+        if new := [item.without_history for item in new if item.kind in JUDGED_KINDS]:
             self.fleet.say(
                 f"{self.name} shows {' '.join(map(shown, new))}, upto {self.learner.committed_number[0]}"
             )
-            self.fleet.judge.shows(self.named, new)
+            self.fleet.judge.shows(self.incarnation_name, new)
 
     def _send(self, to: str, message: Fields) -> None:
         if not _is_empty(message):
@@ -178,25 +189,26 @@
 
 
 def _is_empty(message: Fields) -> bool:
-    """Messages that a node sends and that tell nothing here, where nobody has an endpoint record: left out,
-    so that a seed draws what it always drew."""
-    if message["t"] == PullResponse.kind:
-        return "upto" not in message
-    return message["t"] == Have.kind and not message["v"]
+    """Whether a message says nothing here, where nobody has an endpoint record: it is left out, so that a
+    seed draws what it always drew."""
+    if message[KIND] == PullResponse.kind:
+        return COMMITTED_NUMBER not in message
+    return message[KIND] == Have.kind and not message[VERSIONS]
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
-    def chunk(after: Offset = START, limit_bytes: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-        return Learner.chunk(learner, after, limit_bytes, bare)
+    def chunk(after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, **options: bool) -> SnapshotChunk:
+        return Learner.chunk(learner, after, limit_bytes, **options)
 
     learner.chunk = chunk
     return learner
 
 
-class Sidecar(Party):
-    """A copy beside no disk: all that it knows it has from others, in each life anew."""
+class Sidecar(SimProcess):
+    """A process without a disk: all that it holds it has from others, in each incarnation anew."""
 
     def start(self) -> None:
+        """A new incarnation, which is not ready."""
         self.was_ready = False
         super().start()
 
@@ -206,25 +218,26 @@
             self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
 
-    def _show(self, new: list[Item]) -> None:
-        super()._show(new)
-        self.fleet.judge.tells(self.named, "shows the set", self.learner.items)
+    def _report_committed(self, new: list[Item]) -> None:
+        super()._report_committed(new)
+        self.fleet.judge.tells(self.incarnation_name, "shows the set", self.learner.items)
 
-    def heard(self, sender: str, message: Fields) -> None:
-        super().heard(sender, message)
+    def receive(self, sender: str, message: Fields) -> None:
+        """A message that the network delivers; the judge hears when it makes this process ready."""
+        super().receive(sender, message)
         if not self.was_ready and self.sync.readiness.is_ready(self.sync.has_items):
             self.was_ready = True
-            self.fleet.judge.tells(self.named, "is ready", self.learner.items)
+            self.fleet.judge.tells(self.incarnation_name, "is ready", self.learner.items)
 
 
-class Machine(Party):
+class Machine(SimProcess):
     """A machine with a disk. A spare is there, but not started until one is gone."""
 
     def __init__(self, fleet: "Fleet", name: str, spare: bool = False) -> None:
         super().__init__(fleet, name)
         self.disk = fleet.cores.disk(fleet.world, name)
-        self.core: Replica | None = None
-        self.cut = 0  # faults that cut it off
+        self.replica: Replica | None = None
+        self.partitions = 0  # faults that cut it off, now
         self.slow_start = 0.0  # it is away for so much longer, the next time
         self.wiped: list | None = None  # the trouble that is over once it has caught up
         self.spare = spare
@@ -233,63 +246,72 @@
         self.leaving = False
 
     @property
-    def lost(self) -> bool:
-        """Whether it counts among those that are lost at once."""
+    def is_lost(self) -> bool:
+        """Whether it counts among the machines that are lost at once."""
         if self.spare or (self.counts_from is not None and self.world.now >= self.counts_from):
             return False
-        return not self.works or self.leaving or self.world.now < self.returning_until
+        return not self.is_healthy or self.leaving or self.world.now < self.returning_until
 
     @property
-    def works(self) -> bool:
+    def is_healthy(self) -> bool:
+        """Whether it serves and votes, with a disk that writes in time."""
         return (
             self.up
             and not self.frozen
-            and self.cut == 0
+            and self.partitions == 0
             and not self.disk.stalled
             and not self.disk.refuses
             and self.disk.sync_s <= SYNC_S
-            and self.core.acceptor.voting
+            and self.replica.acceptor.voting
         )
 
     def start(self, first: bool = False) -> None:
+        """A new incarnation on its disk; `first`: of the fleet's first start."""
         super().start()
         fleet, world = self.fleet, self.world
         saved = self.disk.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
         self.sync.learner = _in_small_chunks(acceptor.learner)
         draw = Chance(int(world.draw() * 2**32)).draw
-        self.core = fleet.cores.replica(
-            self.clock, self.named, draw, self._put, self._send, self._hears_itself, self.sync.committed
+        self.replica = fleet.cores.replica(
+            self.clock,
+            self.incarnation_name,
+            draw,
+            self._write,
+            self._send,
+            self._deliver_to_self,
+            self.sync.committed,
         )
-        self.core.proposer_class = fleet.cores.proposer
-        self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
+        self.replica.proposer_class = fleet.cores.proposer
+        self.replica.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
         self.contact = ReplicaContact(
             self.clock,
             lambda: SimSettings(self.name, fleet.plan.tolerate),
             lambda: self.leaving,
-            self.core,
+            self.replica,
             fleet.cores.quorum_contact(self.name, int(draw() * 2**30)),
-            fleet.cores.reconfiguration(self.name, self.named, draw),
-            lambda: f"{self.named} anew",
+            fleet.cores.reconfiguration(self.name, self.incarnation_name, draw),
+            lambda: f"{self.incarnation_name} anew",
         )
         self.sync.replica = self.contact
-        self.core.begin(acceptor)
+        self.replica.begin(acceptor)
 
     def kill(self) -> None:
+        """As by SIGKILL: what the disk had not synced is lost."""
         super().kill()
         self.leaving = False
         self.disk.power_lost()
 
-    def _put(self, writes: list, then: Callable[[], None]) -> None:
+    def _write(self, writes: list, then: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.disk.write(writes, lambda: self.does(then) if incarnation == self.incarnation else None)
+        self.disk.write(writes, lambda: self.execute(then) if incarnation == self.incarnation else None)
 
-    def _hears_itself(self, call: Callable[..., None], *told: Any) -> None:
-        self.later(0.0, lambda: call(*told))
+    def _deliver_to_self(self, call: Callable[..., None], *arguments: Any) -> None:
+        self.after(0.0, lambda: call(*arguments))
 
     def _tick(self) -> None:
-        self.core.tick()
-        if self.wiped is not None and self.core.acceptor.voting:
+        self.replica.tick()
+        if self.wiped is not None and self.replica.acceptor.voting:
             self.fleet.say(f"{self.name} has caught up")
             self.fleet.judge.over(self.wiped)
             self.wiped = None
@@ -300,7 +322,7 @@
                     self._send(each.name, request.packed())
         self._announce_contact()
         if self.ready:
-            self.fleet.judge.tells(self.named, "is ready", self.learner.items)
+            self.fleet.judge.tells(self.incarnation_name, "is ready", self.learner.items)
         if self.fleet.plan.members_change:
             self._replace(now)
         super()._tick()
@@ -323,19 +345,20 @@
         if (items := self.contact.reconfiguration.step(now, view)) is None:
             return
 
-        def told(outcome: bool | Failure) -> None:
-            self.fleet.judge.acted(self.named, items, outcome)
+        def on_outcome(outcome: bool | Failure) -> None:
+            self.fleet.judge.acted(self.incarnation_name, items, outcome)
             self.contact.reconfiguration.on_outcome(self.clock(), outcome)
 
-        self.core.call(items, told)
+        self.replica.call(items, on_outcome)
 
-    # What it hears.
+    # Messages and calls.
 
-    def heard(self, sender: str, message: Fields) -> None:
-        kind = message["t"]
+    def receive(self, sender: str, message: Fields) -> None:
+        """A message that the network delivers."""
+        kind = message[KIND]
         if kind == Hello.kind or kind in self.sync.handlers:
-            super().heard(sender, message)
-            if kind == Hello.kind and isinstance(self.fleet.parties[sender], Machine):
+            super().receive(sender, message)
+            if kind == Hello.kind and isinstance(self.fleet.processes[sender], Machine):
                 self.contact.replica_connected(self.clock(), sender)
         else:
             if (answer := self.contact.handle(sender, message)) is not None:
@@ -343,13 +366,15 @@
             if kind == ContactReply.kind:
                 self._announce_contact()
 
-    def asked(self, items: tuple[Item, ...], tell: Callable) -> None:
-        """By an operator; `tell` gets the outcome, and of a read what is held."""
-        timeout_s = CALL_TIMEOUT_S if self.contact.in_contact() else CUT_OFF_S
-        self.core.call(list(items), lambda outcome: tell(outcome, self.theirs()), timeout_s)
+    def submit(
+        self, items: tuple[Item, ...], on_outcome: Callable[[bool | Failure, dict[Key, Item]], None]
+    ) -> None:
+        """A call of an operator; `on_outcome` gets the outcome, and what a read returns."""
+        timeout_s = CALL_TIMEOUT_S if self.contact.in_contact() else NO_QUORUM_TIMEOUT_S
+        self.replica.call(list(items), lambda outcome: on_outcome(outcome, self.operator_items()), timeout_s)
 
-    def theirs(self) -> dict[Key, Item]:
-        """What a read tells."""
+    def operator_items(self) -> dict[Key, Item]:
+        """What a read returns."""
         return {
             key: item.without_history
             for key, item in self.learner.items.items()
--- a/foxspread/mesh/simulation/operators.py
+++ b/foxspread/mesh/simulation/operators.py
@@ -71,7 +71,7 @@
         def arrives() -> None:
             if not machine.up:
                 return answered(OutcomeUnknown("nobody there"), {})
-            machine.does(lambda: None if over else machine.asked(call.items, told))
+            machine.execute(lambda: None if over else machine.submit(call.items, told))
 
         world.after(world.within(0.0005, 0.004), arrives)
         world.after(SILENCE_S, next_try)
@@ -84,7 +84,7 @@
             self.judge.said(items, outcome, f"{machine.name}, late,")
             self.fleet.say(f"late copy at {machine.name}: {outcome if outcome else outcome.reason}")
 
-        machine.does(lambda: machine.asked(items, told))
+        machine.execute(lambda: machine.submit(items, told))
 
     def probe(self, machine: Machine) -> None:
         """Reads at one that has come back, and nowhere else, until it answers."""
@@ -96,7 +96,7 @@
 
         def ask() -> None:
             if row.served is None and self.world.now < until:
-                machine.does(lambda: machine.asked((), told))
+                machine.execute(lambda: machine.submit((), told))
                 self.world.after(PROBE_S, ask)
 
         self.world.after(PROBE_AFTER_S, ask)
--- a/tests/mesh/simulation/test_fleet.py
+++ b/tests/mesh/simulation/test_fleet.py
@@ -93,7 +93,7 @@
 
             def watched(event: Event) -> None:
                 befall(event)
-                most.append(sum(each.lost for each in fleet.machines))
+                most.append(sum(each.is_lost for each in fleet.machines))
 
             fleet._befall = watched
             fleet.play(drawn(plan, seed))
