--- a/foxspread/mesh/simulation/fault_control.py
+++ b/foxspread/mesh/simulation/fault_control.py
@@ -22,7 +22,7 @@
 
     def is_tolerable(self, *more: Machine) -> bool:
         """Whether these may be lost besides those that are."""
-        lost = {*(each for each in self.fleet.machines if each.lost), *more}
+        lost = {*(each for each in self.fleet.machines if each.is_lost), *more}
         return len(lost) <= self.fleet.plan.tolerate
 
     def schedule_end(self, seconds: float, machine: Machine | None, end: Callable[[], None]) -> None:
--- a/foxspread/mesh/simulation/fleet.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -13,15 +13,15 @@
 from foxspread.mesh.simulation.events import Event, EventKind
 from foxspread.mesh.simulation.faults import Faults
 from foxspread.mesh.simulation.invariants import ANSWER_LIMIT_S, Call, InvariantChecker, Violation
-from foxspread.mesh.simulation.machines import Cores, Machine, Process, Sidecar
+from foxspread.mesh.simulation.machines import Cores, Machine, SimProcess, Sidecar
 from foxspread.mesh.simulation.network import Network
 from foxspread.mesh.simulation.schedule import Plan, draw_schedule
 from foxspread.mesh.simulation.virtual_time import Simulation
-from foxspread.mesh.transport.messages import Fields
+from foxspread.mesh.transport.messages import KIND, Fields
 
 # Kinds of messages, as on the wire, that a trace leaves out: they come all the time.
 UNTRACED_KINDS = ("hello", "have", "pull", "news", "piece", "rows", "contact", "contacted")
-UNTRACED_FIELDS = ("t", "delta", "ahead", "rows", "disks")  # long, or written otherwise
+UNTRACED_FIELDS = (KIND, "delta", "ahead", "rows", "disks")  # long, or written otherwise
 CONVERGENCE_S = 5.0  # after the last fault; then all that live hold the same, without a call
 SETTLING_S = 0.5  # after the last answer that is due
 
@@ -55,7 +55,7 @@
         ]
         self.seeds = tuple(each.name for each in self.machines[: plan.initial_members or plan.machines])
         self.sidecars = [Sidecar(self, f"s{n + 1}") for n in range(plan.sidecars)]
-        self.processes: dict[str, Process] = {each.name: each for each in (*self.machines, *self.sidecars)}
+        self.processes: dict[str, SimProcess] = {each.name: each for each in (*self.machines, *self.sidecars)}
         self._start()
 
     def _start(self) -> None:
@@ -78,7 +78,7 @@
         receiver = self.processes[to]
 
         def receive() -> None:
-            if self.trace is not None and message["t"] not in UNTRACED_KINDS:
+            if self.trace is not None and message[KIND] not in UNTRACED_KINDS:
                 self.log(f"  {sender} > {to} {_describe_message(message)}")
             self.checker.now = self.simulation.now
             receiver.receive(sender, message)
@@ -127,7 +127,7 @@
 def _describe_message(message: Fields) -> str:
     fields = [f"{name}={value}" for name, value in message.items() if name not in UNTRACED_FIELDS]
     delta = [f"{row[1]}@r{row[2]}" for row in message.get("delta", ())]
-    return " ".join([message["t"], *fields, *(["delta=" + ",".join(delta)] if delta else [])])
+    return " ".join([message[KIND], *fields, *(["delta=" + ",".join(delta)] if delta else [])])
 
 
 def play(
--- a/foxspread/mesh/simulation/machine_faults.py
+++ b/foxspread/mesh/simulation/machine_faults.py
@@ -162,7 +162,7 @@
         others = self.control.rotated_from(machine)[1:]
 
         def crash_others() -> None:
-            if machine.lost and not self.control.ended:
+            if machine.is_lost and not self.control.ended:
                 return self.simulation.after(POLL_S, crash_others)
             for each in others[: self.fleet.plan.tolerate]:
                 self.crash(each, duration_s, self.simulation.draw() < 0.5)
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -1,5 +1,7 @@
-"""Processes of a simulated fleet: machines with storage, which run all cores of a replica, and sidecars,
-which only learn. They wire the cores as `Node` does, with virtual time in place of an event loop.
+"""Processes of the fleet in virtual time: machines with a disk, and sidecars without one.
+
+They run the cores of a node, `StateSync` and `ReplicaContact`, on a simulated disk and network; what is here
+is their life, and what the invariants are judged by.
 """
 
 from collections.abc import Callable
@@ -8,7 +10,6 @@
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, OPERATOR_KINDS, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
-from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.errors import InvariantViolation, Failure
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.quorum_contact import QuorumContact
@@ -20,6 +21,7 @@
 )
 from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
+from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S
 from foxspread.mesh.replication.messages import ContactReply
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
@@ -29,17 +31,24 @@
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.state_sync import StateSync
-from foxspread.mesh.transport.messages import Fields, Have, Hello, PullResponse
+from foxspread.mesh.transport.messages import (
+    COMMITTED_NUMBER,
+    KIND,
+    VERSIONS,
+    Fields,
+    Have,
+    Hello,
+    PullResponse,
+)
 from foxspread.sums import Chance
 
 if TYPE_CHECKING:
     from foxspread.mesh.simulation.fleet import Fleet
 
 TICK_S = 0.1
-RECONNECT_S = 1.5  # so often connections come up anew, and whoever was missed is told
-CHUNK_LIMIT_BYTES = 600  # of rows in a chunk: so small that a set takes many
-NO_QUORUM_TIMEOUT_S = 0.3  # for a call on a machine without contact to a majority, as in a node
-CHECKED_KINDS = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the invariants are judged by
+RECONNECT_S = 1.5  # connections open anew: whoever was missed hears all versions again
+CHUNK_LIMIT_BYTES = 600  # so small that a committed set comes in many chunks
+JUDGED_KINDS = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the invariants are judged by
 
 
 @dataclass(frozen=True)
@@ -57,7 +66,7 @@
 
 
 @dataclass(frozen=True)
-class SimulatedSettings:
+class SimSettings:
     """The `ContactSettings` of a machine: each is a zone by itself."""
 
     zone: str
@@ -65,8 +74,8 @@
     tolerate_zones: int = 0
 
 
-class Process:
-    """One process with the committed configuration, which it keeps in step with its peers as a node does."""
+class SimProcess:
+    """One process that holds the committed set. Its clock runs at `rate` from `offset`."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
         self.fleet, self.simulation, self.name = fleet, fleet.simulation, name
@@ -81,9 +90,9 @@
             OwnRecord(self.name, None, 0),
             self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.simulation.draw),
             self._send,
-            lambda call: self.schedule(0.0, call),
+            lambda call: self.after(0.0, call),
             lambda peer: isinstance(self.fleet.processes[peer], Machine),
-            self._show,
+            self._report_committed,
             lambda node: None,
             lambda: None,
             self.fleet.cores.readiness(),
@@ -94,22 +103,17 @@
         """The committed set as held here."""
         return self.sync.learner
 
-    @property
-    def anti_entropy(self) -> AntiEntropy:
-        """Who lacks what."""
-        return self.sync.anti_entropy
-
     @property
     def incarnation_name(self) -> str:
-        """Its name and how often it has ended."""
+        """How traces and violations name this incarnation."""
         return f"{self.name}.{self.incarnation}"
 
     def clock(self) -> float:
-        """Its own clock, in seconds: not in step with others, and a little fast or slow."""
+        """Seconds, on this process's own clock."""
         return self.offset + self.rate * self.simulation.now
 
     def execute(self, call: Callable[[], None]) -> None:
-        """Now, or once it is no longer frozen; never in a later incarnation."""
+        """Now, or once it is thawed; never in a later incarnation."""
         if not self.up:
             return
         if self.frozen:
@@ -121,15 +125,15 @@
             self.fleet.checker.violated("no broken invariant", f"{self.name}: {error}")
             self.kill()
 
-    def schedule(self, seconds: float, call: Callable[[], None]) -> None:
-        """Execute a call so much later, if this incarnation lives then."""
+    def after(self, seconds: float, call: Callable[[], None]) -> None:
+        """Has it executed in this incarnation, after so much virtual time."""
         incarnation = self.incarnation
         self.simulation.after(
             seconds, lambda: self.execute(call) if incarnation == self.incarnation else None
         )
 
     def thaw(self) -> None:
-        """Go on, with all that came meanwhile."""
+        """Does what came while it was frozen."""
         if self.frozen:
             self.frozen = False
             inbox, self.inbox = self.inbox, []
@@ -137,46 +141,46 @@
                 self.execute(call)
 
     def kill(self) -> None:
-        """End at once; its connections and what they carry are lost."""
+        """As by SIGKILL: what it had not written is lost."""
         self.incarnation += 1
         self.up, self.frozen, self.inbox = False, False, []
         self.fleet.network.incarnations[self.name] = self.incarnation
 
     def start(self) -> None:
-        """Begin a new incarnation, which knows nothing yet."""
+        """A new incarnation, which knows nothing."""
         self.up = True
         self.sync = self._new_sync()
         self.fleet.checker.copy_started(self.incarnation_name)
-        self.schedule(0.0, self._connect)
-        self.schedule(self.simulation.draw() * TICK_S, self._tick)
+        self.after(0.0, self._connect)
+        self.after(self.simulation.draw() * TICK_S, self._tick)
 
     def _tick(self) -> None:
         self.sync.flush()
-        self.schedule(TICK_S / self.rate, self._tick)
+        self.after(TICK_S / self.rate, self._tick)
 
     # Peers.
 
     def _connect(self) -> None:
-        self.schedule(RECONNECT_S, self._connect)
-        for core in self.fleet.machines:
-            if core.name != self.name:
-                self._peer_connected(core.name)
-                self._send(core.name, {"t": Hello.kind})
+        self.after(RECONNECT_S, self._connect)
+        for machine in self.fleet.machines:
+            if machine.name != self.name:
+                self._peer_connected(machine.name)
+                self._send(machine.name, {KIND: Hello.kind})
 
     def _peer_connected(self, name: str) -> None:
         self.sync.peer_disconnected(name)
         self.sync.peer_connected(name)
 
     def receive(self, sender: str, message: Fields) -> None:
-        """A message of another process has come."""
-        if message["t"] == Hello.kind:
+        """A message that the network delivers."""
+        if message[KIND] == Hello.kind:
             self._peer_connected(sender)
         else:
-            self.sync.handlers[message["t"]](sender, message)
+            self.sync.handlers[message[KIND]](sender, message)
 
-    def _show(self, new: list[Item]) -> None:
+    def _report_committed(self, new: list[Item]) -> None:
         self.fleet.checker.now = self.simulation.now
-        if new := [item.without_history for item in new if item.kind in CHECKED_KINDS]:
+        if new := [item.without_history for item in new if item.kind in JUDGED_KINDS]:
             self.fleet.log(
                 f"{self.name} shows {' '.join(map(format_item, new))}, "
                 f"upto {self.learner.committed_number[0]}"
@@ -189,30 +193,28 @@
 
 
 def _is_empty(message: Fields) -> bool:
-    """Whether a message that a node sends says nothing here, where nobody has an endpoint record: left out,
-    so that a seed draws what it always drew."""
-    if message["t"] == PullResponse.kind:
-        return "upto" not in message
-    return message["t"] == Have.kind and not message["v"]
+    """Whether a message says nothing here, where nobody has an endpoint record: it is left out, so that a
+    seed draws what it always drew."""
+    if message[KIND] == PullResponse.kind:
+        return COMMITTED_NUMBER not in message
+    return message[KIND] == Have.kind and not message[VERSIONS]
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
-    """The learner, which sends snapshots in chunks that are small enough to be interrupted."""
+    """The learner, whose snapshots come in chunks so small that they can be interrupted."""
 
-    def chunk(
-        after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, bare: bool = False
-    ) -> SnapshotChunk:
-        return Learner.chunk(learner, after, limit_bytes, bare)
+    def chunk(after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, **options: bool) -> SnapshotChunk:
+        return Learner.chunk(learner, after, limit_bytes, **options)
 
     learner.chunk = chunk
     return learner
 
 
-class Sidecar(Process):
-    """A process without storage: all that it knows it learns from others, in each incarnation anew."""
+class Sidecar(SimProcess):
+    """A process without a disk: all that it holds it has from others, in each incarnation anew."""
 
     def start(self) -> None:
-        """Begin a new incarnation, not ready yet."""
+        """A new incarnation, which is not ready."""
         self.was_ready = False
         super().start()
 
@@ -222,26 +224,26 @@
             self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
 
-    def _show(self, new: list[Item]) -> None:
-        super()._show(new)
+    def _report_committed(self, new: list[Item]) -> None:
+        super()._report_committed(new)
         self.fleet.checker.check_freshness(self.incarnation_name, "shows the set", self.learner.items)
 
     def receive(self, sender: str, message: Fields) -> None:
-        """Whatever comes may make it ready; then it must not be stale."""
+        """A message that the network delivers; a process that it makes ready must not be stale."""
         super().receive(sender, message)
         if not self.was_ready and self.sync.readiness.is_ready(self.sync.has_items):
             self.was_ready = True
             self.fleet.checker.check_freshness(self.incarnation_name, "is ready", self.learner.items)
 
 
-class Machine(Process):
+class Machine(SimProcess):
     """A machine with storage. A spare is not started until another is lost for good."""
 
     def __init__(self, fleet: "Fleet", name: str, spare: bool = False) -> None:
         super().__init__(fleet, name)
         self.storage = fleet.cores.storage(fleet.simulation, name)
-        self.core: Replica | None = None
-        self.partition_count = 0  # faults that isolate it
+        self.replica: Replica | None = None
+        self.partitions = 0  # faults that isolate it now
         self.extra_downtime_s = 0.0  # it is away for so much longer, the next time
         self.catch_up_period: FaultPeriod | None = None  # from its wipe until it votes again
         self.spare = spare
@@ -250,58 +252,58 @@
         self.leaving = False
 
     @property
-    def lost(self) -> bool:
-        """Whether it counts among those that are lost at once."""
+    def is_lost(self) -> bool:
+        """Whether it counts among the machines that are lost at once."""
         if self.spare or (self.replaced_at is not None and self.simulation.now >= self.replaced_at):
             return False
         return not self.is_healthy or self.leaving or self.simulation.now < self.returning_until
 
     @property
     def is_healthy(self) -> bool:
-        """Whether no fault keeps it from voting in time."""
+        """Whether it serves and votes, with a disk that writes in time."""
         return (
             self.up
             and not self.frozen
-            and self.partition_count == 0
+            and self.partitions == 0
             and not self.storage.stalled
             and not self.storage.failing
             and self.storage.sync_s <= SYNC_S
-            and self.core.acceptor.voting
+            and self.replica.acceptor.voting
         )
 
     def start(self, first: bool = False) -> None:
-        """Begin a new incarnation from its storage; `first`: at the mesh's first start."""
+        """A new incarnation on its disk; `first`: of the fleet's first start."""
         super().start()
         fleet, simulation = self.fleet, self.simulation
         saved = self.storage.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
         self.sync.learner = _in_small_chunks(acceptor.learner)
         draw = Chance(int(simulation.draw() * 2**32)).draw
-        self.core = fleet.cores.replica(
+        self.replica = fleet.cores.replica(
             self.clock,
             self.incarnation_name,
             draw,
             self._write,
             self._send,
-            self._schedule_call,
+            self._deliver_to_self,
             self.sync.committed,
         )
-        self.core.proposer_class = fleet.cores.proposer
-        self.core.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
+        self.replica.proposer_class = fleet.cores.proposer
+        self.replica.reachable_replicas = lambda: [each.name for each in fleet.machines if each is not self]
         self.contact = ReplicaContact(
             self.clock,
-            lambda: SimulatedSettings(self.name, fleet.plan.tolerate),
+            lambda: SimSettings(self.name, fleet.plan.tolerate),
             lambda: self.leaving,
-            self.core,
+            self.replica,
             fleet.cores.quorum_contact(self.name, int(draw() * 2**30)),
             fleet.cores.reconfiguration(self.name, self.incarnation_name, draw),
             lambda: f"{self.incarnation_name} anew",
         )
         self.sync.replica = self.contact
-        self.core.begin(acceptor)
+        self.replica.begin(acceptor)
 
     def kill(self) -> None:
-        """End at once; what its storage has not synced is lost."""
+        """As by SIGKILL: what the disk had not synced is lost."""
         super().kill()
         self.leaving = False
         self.storage.lose_power()
@@ -312,12 +314,12 @@
             writes, lambda: self.execute(on_synced) if incarnation == self.incarnation else None
         )
 
-    def _schedule_call(self, call: Callable[..., None], *arguments: Any) -> None:
-        self.schedule(0.0, lambda: call(*arguments))
+    def _deliver_to_self(self, call: Callable[..., None], *arguments: Any) -> None:
+        self.after(0.0, lambda: call(*arguments))
 
     def _tick(self) -> None:
-        self.core.tick()
-        if self.catch_up_period is not None and self.core.acceptor.voting:
+        self.replica.tick()
+        if self.catch_up_period is not None and self.replica.acceptor.voting:
             self.fleet.log(f"{self.name} has caught up")
             self.fleet.checker.fault_ended(self.catch_up_period)
             self.catch_up_period = None
@@ -355,13 +357,13 @@
             self.fleet.checker.lease_used(self.incarnation_name, items, outcome)
             self.contact.reconfiguration.on_outcome(self.clock(), outcome)
 
-        self.core.call(items, on_outcome)
+        self.replica.call(items, on_outcome)
 
     # Messages and calls.
 
     def receive(self, sender: str, message: Fields) -> None:
-        """A message of another process has come, for the core that it concerns."""
-        kind = message["t"]
+        """A message that the network delivers."""
+        kind = message[KIND]
         if kind == Hello.kind or kind in self.sync.handlers:
             super().receive(sender, message)
             if kind == Hello.kind and isinstance(self.fleet.processes[sender], Machine):
@@ -372,12 +374,14 @@
             if kind == ContactReply.kind:
                 self._announce_contact()
 
-    def submit(self, items: tuple[Item, ...], on_answer: Callable) -> None:
-        """Submit a client's call; `on_answer` gets the outcome, and what a read would return."""
+    def submit(
+        self, items: tuple[Item, ...], on_outcome: Callable[[bool | Failure, dict[Key, Item]], None]
+    ) -> None:
+        """A call of an operator; `on_outcome` gets the outcome, and what a read returns."""
         timeout_s = CALL_TIMEOUT_S if self.contact.in_contact() else NO_QUORUM_TIMEOUT_S
-        self.core.call(list(items), lambda outcome: on_answer(outcome, self.readable_items()), timeout_s)
+        self.replica.call(list(items), lambda outcome: on_outcome(outcome, self.operator_items()), timeout_s)
 
-    def readable_items(self) -> dict[Key, Item]:
+    def operator_items(self) -> dict[Key, Item]:
         """What a read returns."""
         return {
             key: item.without_history
--- a/foxspread/mesh/simulation/network_faults.py
+++ b/foxspread/mesh/simulation/network_faults.py
@@ -62,12 +62,12 @@
         pairs -= self.fleet.network.partitioned
         self.fleet.network.partitioned |= pairs
         for each in side:
-            each.partition_count += 1
+            each.partitions += 1
 
         def join() -> None:
             self.join(pairs)
             for each in side:
-                each.partition_count -= 1
+                each.partitions -= 1
 
         for each in side:
             self.control.schedule_end(duration_s, each, lambda: None)
--- a/tests/mesh/simulation/test_fleet.py
+++ b/tests/mesh/simulation/test_fleet.py
@@ -77,7 +77,7 @@
 
             def counted(event: Event) -> None:
                 play_event(event)
-                lost_counts.append(sum(each.lost for each in fleet.machines))
+                lost_counts.append(sum(each.is_lost for each in fleet.machines))
 
             fleet._play_event = counted
             fleet.play(draw_schedule(plan, seed))
