--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -13,7 +13,20 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import KEPT, REFUSED, THEIRS, Item, Key, for_all, unpack_item
+from foxspread.mesh.configuration.items import (
+    COLLECTED_AT,
+    COMPACTION,
+    FLOOR,
+    OPERATOR_KINDS,
+    REFUSALS,
+    REFUSED,
+    REFUSED_BEFORE,
+    TOMBSTONES,
+    Item,
+    Key,
+    is_for_sidecars,
+    unpack_item,
+)
 from foxspread.mesh.errors import InvariantViolation
 
 ProposalNumber = tuple[int, str]  # a counter, and the incarnation of the proposer: unique
@@ -168,20 +181,20 @@
             yield CommittedItem(self.items[key], self.changed_at[key])
 
     def chunk(
-        self, after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, bare: bool = False
+        self, after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, for_sidecars: bool = False
     ) -> SnapshotChunk:
-        """The rows after that offset, up to about `limit_bytes` of JSON; `bare`: only what processes
-        without storage hold."""
+        """The rows after that offset, up to about `limit_bytes` of JSON; `for_sidecars`: only what
+        processes without storage hold."""
         rows, size, more = [], 0, False
         for index in range(bisect_right(self.offsets, after), len(self.offsets)):
             proposal_number, key = self.offsets[index]
             if self.changed_at.get(key) != proposal_number:
                 continue
             item = self.items[key]
-            if bare:
-                if not for_all(item):
+            if for_sidecars:
+                if not is_for_sidecars(item):
                     continue
-                item = item.bare
+                item = item.without_history
             row = pack_row(item, proposal_number)
             size += len(orjson.dumps(row))
             if rows and size > limit_bytes:
@@ -193,7 +206,7 @@
 
     def _put(self, item: Item, proposal_number: ProposalNumber) -> bool:
         """Whether the item is in the set from now on."""
-        if item.kind == KEPT:
+        if item.kind == COMPACTION:
             self._collect(item, proposal_number)
         elif item.kind == REFUSED:
             self.clock = max(self.clock, item.content[2])
@@ -211,17 +224,17 @@
     def _collect(self, bound: Item, proposal_number: ProposalNumber) -> None:
         """Collects garbage by a rule that reads nothing but the committed set, so that every learner does
         the same at the same proposal."""
-        if bound.name == "refused":
-            self.refused_since = bound.content["t"]
+        if bound.name == REFUSALS:
+            self.refused_since = bound.content[REFUSED_BEFORE]
             self.clock = max(self.clock, self.refused_since)
             garbage = [
                 key
                 for key, item in self.items.items()
                 if item.kind == REFUSED and item.content[2] < self.refused_since
             ]
-        elif bound.name == "dropped":
-            self.floor = bound.content["floor"]
-            self.horizon = min(unpack_proposal_number(bound.content["at"]), proposal_number)
+        elif bound.name == TOMBSTONES:
+            self.floor = bound.content[FLOOR]
+            self.horizon = min(unpack_proposal_number(bound.content[COLLECTED_AT]), proposal_number)
             garbage = [
                 key
                 for key, item in self.items.items()
@@ -253,5 +266,7 @@
 def _as_dropped(gone: list[Item]) -> list[Item]:
     """The operator's items among these, each as dropped at its version."""
     return [
-        Item(*old.key, old.version, None) for old in gone if old.content is not None and old.kind in THEIRS
+        Item(*old.key, old.version, None)
+        for old in gone
+        if old.content is not None and old.kind in OPERATOR_KINDS
     ]
--- a/foxspread/mesh/replication/messages.py
+++ b/foxspread/mesh/replication/messages.py
@@ -6,24 +6,24 @@
 from collections.abc import Callable
 
 from foxspread.mesh.replication.paxos_messages import (
-    Prepare,
-    Promise,
     Accept,
     Accepted,
-    Nack,
-    StaleEpoch,
     Behind,
     Enroll,
     Enrolled,
+    Nack,
+    Prepare,
+    Promise,
+    StaleEpoch,
 )
 from foxspread.mesh.replication.sync_messages import (
-    DiskState,
+    ContactReply,
     ContactRequest,
+    DiskState,
     Report,
-    ContactReply,
     SnapshotChunkRequest,
-    SnapshotRows,
     SnapshotRestart,
+    SnapshotRows,
 )
 from foxspread.mesh.replication.wire_format import (
     KIND,
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -16,9 +16,10 @@
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, NamedTuple
 
-from foxspread.mesh.configuration.idempotency import apply_change, collectable, digest_of_change
+from foxspread.mesh.configuration.idempotency import apply_change, digest_of_change
 from foxspread.mesh.configuration.items import Item, Key
-from foxspread.mesh.errors import Failure, conflict, outcome_unknown
+from foxspread.mesh.configuration.retention import collectable
+from foxspread.mesh.errors import Conflict, Failure, OutcomeUnknown
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, current_replies
 from foxspread.mesh.replication.learner import CommittedItem, ProposalNumber, Row, unpack_row
 from foxspread.mesh.replication.membership import MemberSet, differs_by_one, is_quorum, member_set_of
@@ -199,7 +200,7 @@
         for calls in (self.waiting, self.running):
             for call in [each for each in calls if now >= each.deadline]:
                 calls.remove(call)
-                out.completed.append(CompletedCall(call.token, outcome_unknown("no majority in time")))
+                out.completed.append(CompletedCall(call.token, OutcomeUnknown("no majority in time")))
 
     def _start_attempt(self, now: float, out: ProposerOutput) -> None:
         acceptor = self.acceptor
@@ -292,9 +293,9 @@
         by_key = {item.key: item for item in call.items}
         if (change := by_key.get(MEMBERS_KEY)) is not None:
             if MEMBERS_KEY in delta:
-                return {}, outcome_unknown("another change of members is not settled yet")
+                return {}, OutcomeUnknown("another change of members is not settled yet")
             if not differs_by_one(self.acceptor.members, member_set_of(change)):
-                return {}, conflict("members change by one machine at a time")
+                return {}, Conflict("members change by one machine at a time")
         clock, seen_at = self.clock_seen
         agreed_time = clock + CLOCK_RATE * max(0.0, now - seen_at)
         return apply_change(proposed, call.items, call.digest, agreed_time)
--- a/foxspread/mesh/replication/reconfiguration.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -24,9 +24,9 @@
 from foxspread.mesh.replication.cluster_view import REPORT_FRESH_S, ClusterView
 from foxspread.mesh.replication.learner import ProposalNumber
 from foxspread.mesh.replication.membership import MemberSet, is_quorum, membership_change
-from foxspread.mesh.replication.proposer import Outcome
 from foxspread.mesh.replication.messages import Report
 from foxspread.mesh.replication.placement import evens_out_zones, target_size, without_one
+from foxspread.mesh.replication.proposer import Outcome
 
 REPORT_LAG_S = 0.5  # from a request until its reply is evaluated: what was committed since is not in it
 CONTACT_STALENESS_LIMIT_S = 1.0  # a machine without a quorum for longer decides nothing
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -9,7 +9,7 @@
 from typing import ClassVar
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.errors import Failure, outcome_unknown
+from foxspread.mesh.errors import Failure, OutcomeUnknown
 from foxspread.mesh.log import log_event
 from foxspread.mesh.replication.acceptor import Acceptor, Learned, Response
 from foxspread.mesh.replication.learner import NONE, ProposalNumber, Row, unpack_row
@@ -89,7 +89,7 @@
         """Commits the items and reports True, or a failure, within the time; without items it is a read:
         True once this committed set is as new as any was at the call."""
         if self.acceptor is None or not self.acceptor.serves:
-            return on_outcome(outcome_unknown("the state is not known here yet"))
+            return on_outcome(OutcomeUnknown("the state is not known here yet"))
         self.call_count += 1
         self.pending_calls[self.call_count] = on_outcome
         now = self.clock()
--- a/foxspread/mesh/replication/snapshot_transfer.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -178,7 +178,9 @@
         since = message.after[0] if message.since is None else message.since
         if message.after != START and learner.horizon > since:
             return SnapshotRestart(message.number, learner.committed_number)
-        return SnapshotRows(message.number, learner.chunk(message.after, bare=not to_replica), staleness_s)
+        return SnapshotRows(
+            message.number, learner.chunk(message.after, for_sidecars=not to_replica), staleness_s
+        )
 
     # Requests and chunks.
 
--- a/foxspread/mesh/replication/storage.py
+++ b/foxspread/mesh/replication/storage.py
@@ -7,6 +7,7 @@
 it was opened; others remember the highest count, and the highest promise, that it has named (`is_older`).
 """
 
+import contextlib
 import os
 import queue
 import sqlite3
@@ -207,10 +208,8 @@
             self.db.execute("COMMIT")
         except sqlite3.Error as error:
             self._on_refused(error)
-            try:
+            with contextlib.suppress(sqlite3.Error):  # nothing was begun
                 self.db.execute("ROLLBACK")
-            except sqlite3.Error:
-                pass  # nothing was begun
             return False
         if self.refused_since is not None:
             log_event("disk_writes_again", after=time.monotonic() - self.refused_since)
--- a/foxspread/mesh/simulation/explore.py
+++ b/foxspread/mesh/simulation/explore.py
@@ -16,10 +16,10 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import THEIRS, Item, Key
-from foxspread.mesh.errors import InvariantViolation, Failure
-from foxspread.mesh.replication.learner import Learner, unpack_row
+from foxspread.mesh.configuration.items import OPERATOR_KINDS, Item, Key
+from foxspread.mesh.errors import Failure, InvariantViolation
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, Learned, Response
+from foxspread.mesh.replication.learner import Learner, unpack_row
 from foxspread.mesh.replication.messages import (
     Accept,
     Accepted,
@@ -286,7 +286,9 @@
         for item, taken in self.told:
             if taken and confirmed.setdefault((item.key, item.version), item) != item:
                 self.faults.append(f"two contents of {item.kind} {item.name}@r{item.version} were confirmed")
-            if item.kind not in THEIRS:  # by compare and set: one that has come about is refused again
+            if (
+                item.kind not in OPERATOR_KINDS
+            ):  # by compare and set: one that has come about is refused again
                 continue
             if taken and (item, False) in self.told:
                 self.faults.append(f"{item.name}@r{item.version} was taken and was refused")
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -68,8 +68,10 @@
         self.flushing = False
 
     def _holds(self, learner: Learner) -> None:
-        def small(after: Offset = START, limit_bytes: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-            return Learner.chunk(learner, after, limit_bytes, bare)
+        def small(
+            after: Offset = START, limit_bytes: int = PIECE_BYTES, for_sidecars: bool = False
+        ) -> SnapshotChunk:
+            return Learner.chunk(learner, after, limit_bytes, for_sidecars)
 
         self.learner, learner.chunk = learner, small
         self.snapshot_transfer = self.fleet.cores.snapshot_transfer(learner, self.world.draw)
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -3,16 +3,13 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from foxspread.mesh.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
 from foxspread.mesh.configuration.idempotency import apply_change
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.snapshot_transfer import Peer, ReceivedRows, SnapshotTransfer
-from foxspread.mesh.replication.quorum_contact import QuorumContact
-from foxspread.mesh.replication.learner import NONE, CommittedItem, ProposalNumber, Row, chunk_digest
 from foxspread.mesh.replication.acceptor import Acceptor, Learned, Response
+from foxspread.mesh.replication.learner import NONE, CommittedItem, ProposalNumber, Row, chunk_digest
 from foxspread.mesh.replication.membership import MemberSet
-from foxspread.mesh.replication.replica import Replica
 from foxspread.mesh.replication.messages import (
     Accept,
     Accepted,
@@ -25,9 +22,12 @@
     SnapshotRows,
 )
 from foxspread.mesh.replication.proposer import CompletedCall, PendingCall, Proposer, ProposerOutput
+from foxspread.mesh.replication.quorum_contact import QuorumContact
+from foxspread.mesh.replication.replica import Replica
+from foxspread.mesh.replication.snapshot_transfer import Peer, ReceivedRows, SnapshotTransfer
 from foxspread.mesh.replication.stored_state import ACCEPTED, PROMISED, RecoveredState, SetMeta, Write
-from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.disks import SimDisk
+from foxspread.mesh.simulation.machines import Cores
 
 
 class VotesAtOnce(Acceptor):
@@ -234,7 +234,9 @@
     """What held under a number is not known once a newer one holds."""
 
     def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        return super()._evaluate({key: item.bare for key, item in proposed.items()}, delta, call, now)
+        return super()._evaluate(
+            {key: item.without_history for key, item in proposed.items()}, delta, call, now
+        )
 
 
 class RefusalNotAgreed(Proposer):
--- a/tests/mesh/replication/make_stored_data.py
+++ b/tests/mesh/replication/make_stored_data.py
@@ -20,12 +20,12 @@
 
 import orjson
 
-from foxspread.mesh.configuration.items import KEPT, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.items import COMPACTION, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.stored_state import RecoveredState
-from foxspread.mesh.replication.storage import Storage
 from foxspread.mesh.replication.membership import membership_change
 from foxspread.mesh.replication.replica import Replica
+from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.stored_state import RecoveredState
 from tests.mesh.replication.test_stored_data import (
     NEW_DISK,
     SEEDS,
@@ -165,7 +165,7 @@
     must(network.commit("b", lease, membership_change(members, [*members.of, "d"], disks)))
     # r4, dropped before this ballot, is forgotten; s5, dropped with it, stays known as dropped.
     horizon = list(network.voters["c"].replica.acceptor.learner.committed_number)
-    forget = Item(KEPT, "dropped", 1, {"floor": 2, "at": horizon})
+    forget = Item(COMPACTION, "dropped", 1, {"floor": 2, "at": horizon})
     must(network.commit("c", route("r2", "s3", 2), Item(SERVICE, "s5", 2, None), forget))
     # A value that all have accepted and nobody knows to be settled.
     network.cut = lambda message: message["t"] == "accepted"
--- a/tests/mesh/replication/scripted_replicas.py
+++ b/tests/mesh/replication/scripted_replicas.py
@@ -2,8 +2,8 @@
 
 from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
 from foxspread.mesh.replication.messages import ProposerReply
-from foxspread.mesh.simulation.fleet import Cores
 from foxspread.mesh.simulation.explore import Case, Table, loads
+from foxspread.mesh.simulation.fleet import Cores
 
 THREE, FIVE = ("a", "b", "c"), ("a", "b", "c", "d", "x")
 
@@ -42,9 +42,9 @@
 def deliver_reply(table: Table, sender: str, to: str) -> None:
     """The newest reply of `sender` to a proposal reaches `to`, if there is one."""
     for number in reversed(range(len(table.flying))):
-        if table.flying[number][:2] == (sender, to):
-            if isinstance(loads(table.flying[number][2]), ProposerReply):
-                return table.do(("deliver", number))
+        from_, to_, packed = table.flying[number]
+        if (from_, to_) == (sender, to) and isinstance(loads(packed), ProposerReply):
+            return table.do(("deliver", number))
 
 
 def start_attempt(table: Table, proposer: str, above: int | None = None) -> None:
--- a/tests/mesh/replication/test_acceptor.py
+++ b/tests/mesh/replication/test_acceptor.py
@@ -3,10 +3,10 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.replication.acceptor import DISK_IDENTITIES_LIMIT, MISSING_ROWS_LIMIT, Acceptor
 from foxspread.mesh.replication.learner import NONE, CommittedItem, pack_row
 from foxspread.mesh.replication.messages import Accept, Accepted, Enroll, Nack, Prepare
 from foxspread.mesh.replication.proposer import Proposer
-from foxspread.mesh.replication.acceptor import MISSING_ROWS_LIMIT, Acceptor, DISK_IDENTITIES_LIMIT
 from foxspread.mesh.replication.stored_state import RecoveredState, SetMeta
 
 
--- a/tests/mesh/replication/test_learner.py
+++ b/tests/mesh/replication/test_learner.py
@@ -2,17 +2,17 @@
 
 from testtools import TestCase
 
-from foxspread.mesh.configuration.items import KEPT, REFUSED, ROUTE, SERVICE, Item
+from foxspread.mesh.configuration.items import COMPACTION, REFUSED, ROUTE, SERVICE, Item
 from foxspread.mesh.errors import InvariantViolation
 from foxspread.mesh.replication.learner import (
     NONE,
     START,
     Learner,
+    chunk_digest,
+    end_of_proposal,
     offset_of,
     pack_row,
-    chunk_digest,
     unpack_row,
-    end_of_proposal,
 )
 
 INCARNATION = "w"
@@ -35,11 +35,11 @@
 
 
 def collect_refused(version: int, time: int) -> Item:
-    return Item(KEPT, "refused", version, {"t": time})
+    return Item(COMPACTION, "refused", version, {"t": time})
 
 
 def collect_dropped(version: int, floor: int, number: int) -> Item:
-    return Item(KEPT, "dropped", version, {"floor": floor, "at": [number, INCARNATION]})
+    return Item(COMPACTION, "dropped", version, {"floor": floor, "at": [number, INCARNATION]})
 
 
 def committed(*changes: tuple[int, list[Item]]) -> Learner:
@@ -95,7 +95,7 @@
             collect_refused(1, 2),
             collect_dropped(1, 2, 0),
         ]
-        chunk = committed((1, rows)).chunk(bare=True)
+        chunk = committed((1, rows)).chunk(for_sidecars=True)
         self.assertEqual(
             [pack_row(collect_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))],
             chunk.rows,
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -6,25 +6,25 @@
 
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.messages import Accept, Enroll, Prepare
 from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.messages import Accept, Enroll, Prepare
 from foxspread.mesh.replication.stored_state import RecoveredState
+from foxspread.mesh.simulation.explore import Case, Table, explore, read_from
 from foxspread.mesh.simulation.fleet import Cores
 from foxspread.mesh.simulation.mutants import CORES
-from foxspread.mesh.simulation.explore import Case, Table, explore, read_from
 from tests.mesh.replication.scripted_replicas import (
     FIVE,
     SCRIPTS,
     SCRIPTS_BY_MUTANT,
     THREE,
-    deliver_reply,
-    send_prepare,
-    start_attempt,
     deliver_enrolment,
+    deliver_reply,
     new_table,
-    send_accept,
     route,
+    send_accept,
+    send_prepare,
     service,
+    start_attempt,
     wipe_and_enrol,
 )
 
--- a/tests/mesh/replication/test_quorum_contact.py
+++ b/tests/mesh/replication/test_quorum_contact.py
@@ -4,16 +4,16 @@
 
 import testtools
 
+from foxspread.mesh.replication.membership import MemberSet
+from foxspread.mesh.replication.messages import ContactReply, ContactRequest, DiskState, Report, decode
 from foxspread.mesh.replication.quorum_contact import (
-    REQUEST_INTERVAL_S,
-    REPORTS_LIMIT,
     PENDING_REQUESTS_LIMIT,
+    REPORTS_LIMIT,
+    REQUEST_INTERVAL_S,
     STALENESS_LIMIT_S,
-    QuorumContact,
     DiskHistory,
+    QuorumContact,
 )
-from foxspread.mesh.replication.membership import MemberSet
-from foxspread.mesh.replication.messages import ContactReply, ContactRequest, DiskState, Report, decode
 
 OLD, NEW, NEWER = (3, "a"), (5, "b"), (6, "a")
 THREE = MemberSet(0, ("m1", "m2", "m3"))
--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -8,12 +8,12 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import LEASE, Item
-from foxspread.mesh.errors import conflict, outcome_unknown
+from foxspread.mesh.errors import Conflict, OutcomeUnknown
 from foxspread.mesh.replication import reconfiguration as r
+from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.membership import MemberSet, differs_by_one, is_quorum, member_set_of
 from foxspread.mesh.replication.messages import Report
 from foxspread.mesh.replication.quorum_contact import ReceivedReport
-from foxspread.mesh.replication.learner import Learner
-from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
 
 TICK_S = 0.1
 
@@ -78,16 +78,16 @@
         for name, items in calls:
             self.asked += 1
             fate = self.fate.get(self.asked, "")
-            outcome = outcome_unknown("lost") if fate == "lost" else self.commit(name, items)
-            self.cores[name].on_outcome(self.now, outcome if fate != "told late" else outcome_unknown("late"))
+            outcome = OutcomeUnknown("lost") if fate == "lost" else self.commit(name, items)
+            self.cores[name].on_outcome(self.now, outcome if fate != "told late" else OutcomeUnknown("late"))
 
     def commit(self, name: str, items: list[Item]):
         lease, *change = items
         if lease.kind != LEASE or lease.version != (self.lease.version if self.lease else 0) + 1:
-            return conflict("lease")
+            return Conflict("lease")
         sets = [self.members, *map(member_set_of, change)]
         if not is_quorum(sets, self.up - self.mute):
-            return outcome_unknown("no majority")
+            return OutcomeUnknown("no majority")
         self.lease = lease
         for new in sets[1:]:
             assert new.epoch == self.members.epoch + 1 and differs_by_one(self.members, new), "one step"
@@ -202,7 +202,7 @@
         field.run(8)
         self.assertEqual("a1 c3 e2", field.of())
         self.assertTrue(
-            r.UNHEARD_LIMIT_S < field.log[0][0] - lost_at and field.log[-1][0] - lost_at < 5.0, field.log
+            field.log[0][0] - lost_at > r.UNHEARD_LIMIT_S and field.log[-1][0] - lost_at < 5.0, field.log
         )
         field.up.add("b2")
         self.assertEqual(("a1 c3 e2", 2), (field.run(60).of(), len(field.log)))
@@ -279,7 +279,7 @@
             core.act(lambda now=now: now, view, lambda items, tell: submitted.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], submitted[0][0])
         self.assertEqual(1, len(submitted))  # one under way at the most
-        submitted[0][1](outcome_unknown("lost"))
+        submitted[0][1](OutcomeUnknown("lost"))
         self.assertIsNone(core.submitted)
 
 
@@ -373,7 +373,7 @@
             mine = core.step(field.now, view)
             theirs = field.cores[other].step(field.now, field.view(other))
             if mine is not None:
-                core.on_outcome(field.now, outcome_unknown("lost"))
+                core.on_outcome(field.now, OutcomeUnknown("lost"))
             since = field.now - at
             if mine is not None and len(mine) > 1:
                 self.assertTrue(since < r.LEASE_S - r.LEASE_MARGIN_S, since)
--- a/tests/mesh/replication/test_snapshot_transfer.py
+++ b/tests/mesh/replication/test_snapshot_transfer.py
@@ -7,14 +7,15 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import Item
-from foxspread.mesh.replication.snapshot_transfer import (
-    REQUEST_TIMEOUT_LIMIT_S,
-    REQUEST_TIMEOUT_S,
-    SOURCE_LOST_S,
-    SnapshotTransfer,
-    ReceivedRows,
+from foxspread.mesh.replication.learner import (
+    NONE,
+    START,
+    Learner,
+    Offset,
+    SnapshotChunk,
+    end_of_proposal,
+    unpack_row,
 )
-from foxspread.mesh.replication.learner import NONE, START, Learner, end_of_proposal, unpack_row
 from foxspread.mesh.replication.messages import (
     Message,
     SnapshotChunkRequest,
@@ -23,6 +24,13 @@
     SnapshotRows,
     decode,
 )
+from foxspread.mesh.replication.snapshot_transfer import (
+    REQUEST_TIMEOUT_LIMIT_S,
+    REQUEST_TIMEOUT_S,
+    SOURCE_LOST_S,
+    ReceivedRows,
+    SnapshotTransfer,
+)
 from tests.mesh.replication.test_learner import at, collect_dropped, committed, dropped, names, service
 
 CHANGES = [
@@ -73,8 +81,8 @@
     def __getattr__(self, name: str) -> object:
         return getattr(self.learner, name)
 
-    def chunk(self, after, bare):
-        return self.learner.chunk(after, self.most, bare)
+    def chunk(self, after: Offset, for_sidecars: bool) -> SnapshotChunk:
+        return self.learner.chunk(after, self.most, for_sidecars)
 
 
 def cloned(transfer: SnapshotTransfer) -> SnapshotTransfer:
--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -10,11 +10,11 @@
 
 from testtools import TestCase
 
-from foxspread.mesh.configuration.items import KEPT, REFUSED, SERVICE, Item
+from foxspread.mesh.configuration.items import COMPACTION, REFUSED, SERVICE, Item
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.learner import NONE, CommittedItem, pack_row, unpack_row
 from foxspread.mesh.replication.messages import Accept, Enroll
 from foxspread.mesh.replication.storage import FILE, Storage, is_older
-from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.stored_state import DeleteRows, PutRows, RecoveredState, SetMeta
 
 MEMBERS = ("a", "b", "c")
@@ -74,9 +74,9 @@
         acceptor = Acceptor("a", RecoveredState((0, "a"), MEMBERS, voting=True, members_confirmed=True))
         committed = [
             [service("v"), Item(SERVICE, "w", 2, None), Item(REFUSED, "r", 1, [409, "x", 3.0])],
-            [Item(KEPT, "refused", 1, {"t": 5.0}), Item(REFUSED, "r", 1, [409, "x", 9.0])],
+            [Item(COMPACTION, "refused", 1, {"t": 5.0}), Item(REFUSED, "r", 1, [409, "x", 9.0])],
             [Item(REFUSED, "q", 1, [409, "x", 4.0])],
-            [Item(KEPT, "dropped", 1, {"floor": 2, "at": [1, "w"]})],
+            [Item(COMPACTION, "dropped", 1, {"floor": 2, "at": [1, "w"]})],
         ]
         steps, remembered = [], [{}]
         for number, items in enumerate(committed, 1):
--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -12,11 +12,11 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.document import configuration_document, route_match, weighted_services
-from foxspread.mesh.configuration.items import Item, LEASE, MEMBERS, NONE_SUPERSEDED, REFUSED, ROUTE, SERVICE
-from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
+from foxspread.mesh.configuration.idempotency import apply_change, digest_of_change
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, NONE_SUPERSEDED, REFUSED, ROUTE, SERVICE, Item
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.stored_state import RecoveredState
 from tests.write_ahead_log import change_byte
 
 STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
