--- a/foxspread/mesh/replication/wire_format.py
+++ b/foxspread/mesh/replication/wire_format.py
@@ -3,13 +3,12 @@
 The spelling, and the order of the keys, is the protocol between releases and must not change.
 """
 
-from typing import Any
-
 from foxspread.mesh.configuration.items import Item, unpack_item
 from foxspread.mesh.replication.learner import unpack_proposal_number
 from foxspread.mesh.replication.stored_state import DiskIdentity
+from foxspread.mesh.transport.messages import Fields, MalformedMessageError
 
-Fields = dict[str, Any]  # a message as JSON has it
+__all__ = ["Fields", "MalformedMessageError"]  # besides the keys below
 
 # Keys of more than one kind of message.
 KIND = "t"
@@ -48,10 +47,6 @@
 START_OVER = "again"
 
 
-class MalformedMessageError(ValueError):
-    """A peer sent an object that is no message of its kind."""
-
-
 def pack_items(items: tuple[Item, ...]) -> list[list]:
     """Items as JSON has them."""
     return [item.packed() for item in items]
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -366,8 +366,8 @@
 class ReadyByAnyBasis(Readiness):
     """Ready by whatever was told, however old."""
 
-    def told(self, now: float, asked_at: float, age: float | None) -> None:
-        super().told(now, now, 0.0)
+    def record_basis(self, now: float, requested_at: float, age_s: float | None) -> None:
+        super().record_basis(now, now, 0.0)
 
 
 CORES: dict[str, Cores] = {
