--- a/tests/mesh/replication/make_stored_data.py
+++ b/tests/mesh/replication/make_stored_data.py
@@ -22,10 +22,10 @@
 
 from foxspread.mesh.configuration.items import COMPACTION, LEASE, LIMITS, MEMBERS, ROUTE, SERVICE, Item
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.stored_state import RecoveredState
-from foxspread.mesh.replication.storage import Storage
 from foxspread.mesh.replication.membership import membership_change
 from foxspread.mesh.replication.replica import Replica
+from foxspread.mesh.replication.storage import Storage
+from foxspread.mesh.replication.stored_state import RecoveredState
 from tests.mesh.replication.test_stored_data import (
     NEW_DISK,
     SEEDS,
--- a/tests/mesh/replication/scripted_replicas.py
+++ b/tests/mesh/replication/scripted_replicas.py
@@ -43,9 +43,9 @@
 def deliver_reply(state: ClusterState, sender: str, to: str) -> None:
     """The newest reply of `sender` to a proposal reaches `to`, if there is one."""
     for number in reversed(range(len(state.in_flight))):
-        if state.in_flight[number][:2] == (sender, to):
-            if isinstance(loads(state.in_flight[number][2]), ProposerReply):
-                return state.do(Deliver(number))
+        message = state.in_flight[number]
+        if message[:2] == (sender, to) and isinstance(loads(message.packed), ProposerReply):
+            return state.do(Deliver(number))
 
 
 def start_attempt(state: ClusterState, proposer: str, above: int | None = None) -> None:
