--- a/tests/mesh/replication/test_stored_data.py
+++ b/tests/mesh/replication/test_stored_data.py
@@ -11,20 +11,11 @@
 
 from testtools import TestCase
 
-from foxspread.mesh.configuration.items import (
-    LEASE,
-    MEMBERS,
-    NO_PAST,
-    REFUSED,
-    ROUTE,
-    SERVICE,
-    Item,
-    laid_out,
-    place_of,
-    services_of,
-)
+from foxspread.mesh.configuration.document import configuration_document, route_match, weighted_services
+from foxspread.mesh.configuration.items import Item, LEASE, MEMBERS, NONE_SUPERSEDED, REFUSED, ROUTE, SERVICE
 from foxspread.mesh.configuration.idempotency import digest_of_change, apply_change
-from foxspread.mesh.replication.acceptor import Acceptor, Saved
+from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.stored_state import RecoveredState
 from foxspread.mesh.replication.storage import Storage
 from tests.write_ahead_log import change_byte
 
@@ -72,7 +63,7 @@
     return as_json(saved, name)
 
 
-def as_json(saved: Saved, name: str) -> dict[str, Any]:
+def as_json(saved: RecoveredState, name: str) -> dict[str, Any]:
     """By names that stay, whatever the code calls them."""
     acceptor = Acceptor(name, saved)
     found = {
@@ -86,7 +77,7 @@
         "rows": sorted(saved.rows, key=lambda row: row[:2]),
         "identities_noted": saved.disks,
         "voting": saved.voting,
-        "members_known": saved.known,
+        "members_known": saved.members_confirmed,
         "epoch": acceptor.epoch,
         "members": acceptor.members.of,
     }
@@ -101,15 +92,17 @@
     held = acceptor.learner.items
     routes = [item for item in held.values() if item.kind == ROUTE and item.content is not None]
     found = {
-        "configuration": laid_out(held.values()),
-        "places": {item.name: place_of(item.content) for item in routes},
-        "services": {item.name: services_of(item.content) for item in routes},
+        "configuration": configuration_document(held.values()),
+        "places": {item.name: route_match(item.content) for item in routes},
+        "services": {item.name: weighted_services(item.content) for item in routes},
         "dropped": sorted(item.key for item in held.values() if item.content is None),
         "forgotten_up_to": [acceptor.learner.floor, acceptor.learner.horizon],
         "lease": held[LEASE, MEMBERS].content,
         "refusals": [item.content for item in held.values() if item.kind == REFUSED],
         "agreed_clock": acceptor.learner.clock,
-        "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
+        "past_versions": {
+            item.name: item.superseded for item in held.values() if item.superseded != NONE_SUPERSEDED
+        },
         "answers": {name: answer(held, order) for name, order in ORDERS.items()},
         "serves": acceptor.serves,
         "unsettled": acceptor.uncommitted,
