--- a/tests/mesh/transport/test_recorded_messages.py
+++ b/tests/mesh/transport/test_recorded_messages.py
@@ -10,6 +10,8 @@
 import unittest
 from collections import Counter
 
+from foxspread.mesh.replication import messages as replication
+from foxspread.mesh.transport import messages as transport
 from foxspread.mesh.transport.netstrings import Decoder, encode
 
 RECORDED = pathlib.Path(__file__).parents[2] / "data" / "wire" / "mesh-messages.jsonl"
@@ -17,12 +19,13 @@
     "accept accepted beat behind contact contacted enrol enrolled have hello nack news piece prepare promise "
     "pull rows shuffle shuffled stale standing".split()
 )
+DECODERS = {**transport.DECODERS, **replication.DECODERS}
 
 
 def reencode(data: bytes) -> bytes:
-    """Decodes one message and encodes it again, through the typed codec of its kind where there is one."""
+    """Decodes one message and encodes it again, through the typed codec of its kind."""
     (fields,) = Decoder().feed(data)
-    return encode(fields)
+    return encode(DECODERS[fields["t"]](fields).packed())
 
 
 def recorded() -> list[tuple[str, bytes]]:
@@ -37,6 +40,10 @@
             with self.subTest(line=number + 1, kind=kind):
                 self.assertEqual(data, reencode(data))
 
+    def test_no_kind_has_two_decoders(self) -> None:
+        self.assertEqual(set(), transport.DECODERS.keys() & replication.DECODERS.keys())
+        self.assertEqual(KINDS, set(DECODERS))
+
     def test_each_kind_is_recorded(self) -> None:
         self.assertEqual(KINDS, set(Counter(kind for kind, _ in recorded())))
 
