--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -10,13 +10,14 @@
 import signal
 import time
 
+from foxspread.mesh.boot_clock import boot_clock
 from foxspread.mesh.committed_configuration import CommittedConfiguration
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.configuration.routes import RouteTable
 from foxspread.mesh.control_api.configuration import ConfigurationResource
 from foxspread.mesh.control_api.handlers import ControlApi, ReadinessApi
 from foxspread.mesh.control_api.instances import InstancesResource
-from foxspread.mesh.control_api.readiness import SuspendDetector, Readiness
+from foxspread.mesh.control_api.readiness import Readiness, SuspendDetector
 from foxspread.mesh.endpoints import Endpoints
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.event_log import EventKind, EventLog
@@ -55,12 +56,6 @@
 DISK_IDENTITY_BYTES = 8
 
 
-def boot_clock() -> float:
-    """Seconds since the machine started. Unlike the event loop's clock it goes on while the machine is
-    suspended: ages, leases and drains must not stand still with it."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME)
-
-
 class Node:
     """One process. `run` returns once it has shut down."""
 
@@ -152,11 +147,6 @@
             lambda: self.settings.memory_mb,
         )
 
-    @property
-    def learner(self) -> Learner:
-        """The committed set as held here."""
-        return self.sync.learner
-
     # Start and end.
 
     async def run(self) -> None:
