--- a/foxspread/mesh/dataplane/errand.py
+++ b/foxspread/mesh/dataplane/errand.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 
 from foxspread.model import HandOff, Outcome
+from foxspread.net.http import Message
 from foxspread.mesh.configuration.routes import Route
 from foxspread.mesh.budget.budget import Budget
 from foxspread.mesh.health.health import Health
@@ -31,7 +32,7 @@
     hand_off: HandOff
     outcome: Outcome | None = None
     arrived: bool = True  # as far as can't be ruled out
-    answer: object = None  # the server's own, where there is a whole one
+    answer: Message | None = None  # the server's own, where there is a whole one
 
 
 @dataclass(slots=True)
@@ -174,7 +175,7 @@
         number: int,
         outcome: Outcome,
         arrived: bool,
-        answer: object,
+        answer: Message | None,
         busy: int | None,
     ) -> None:
         """`arrived`: it may have reached a server. `busy`: requests that the last hop told it holds."""
@@ -220,7 +221,9 @@
 
     def _passed(self, errand: Errand, number: int) -> Pass | Refuse:
         """Without X-Not-Run such a status is no promise of the server's: passed on, it would be ours."""
-        if not errand.route.idempotent and errand.tries[number].answer.status in PROMISES:
+        answer = errand.tries[number].answer
+        assert answer is not None, "only a whole answer is passed on"
+        if not errand.route.idempotent and answer.status in PROMISES:
             return Refuse(502, "the server may have run it")
         return Pass(number)
 
--- a/foxspread/mesh/dataplane/lasthop.py
+++ b/foxspread/mesh/dataplane/lasthop.py
@@ -36,9 +36,9 @@
 class Holding:
     """What is handed over to one life and not answered."""
 
+    took: Mean
     busy: int = 0
     pressed_at: float = -math.inf
-    took: Mean = None
 
 
 class LastHop:
--- a/foxspread/mesh/emulators/client.py
+++ b/foxspread/mesh/emulators/client.py
@@ -117,9 +117,11 @@
 
 def told_pause(message: http.Message | None, otherwise: float) -> float:
     """Retry-After, in seconds."""
+    if message is None:
+        return otherwise
     try:
         return max(0.0, float(message.text(b"retry-after")))
-    except (AttributeError, ValueError):
+    except ValueError:
         return otherwise
 
 
--- a/foxspread/mesh/emulators/operator.py
+++ b/foxspread/mesh/emulators/operator.py
@@ -78,7 +78,7 @@
                 status=reply.status,
                 why=reply.why,
             )
-            if reply.status != 307 or followed == FOLLOWED_MOST:
+            if reply.message is None or reply.status != 307 or followed == FOLLOWED_MOST:
                 return reply
             where = reply.message.text(b"location").removeprefix("http://")
             host, slash, path = where.partition("/")
--- a/foxspread/mesh/simulation/world.py
+++ b/foxspread/mesh/simulation/world.py
@@ -28,7 +28,7 @@
     def within(self, least: float, most: float) -> float:
         return least + (most - least) * self.draw()
 
-    def pick(self, rows: list) -> Any:
+    def pick(self, rows: list[Any]) -> Any:
         return rows[int(self.draw() * len(rows))]
 
     def at(self, when: float, call: Callable[[], None]) -> None:
