--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -16,9 +16,10 @@
 from dataclasses import dataclass, field
 from typing import Any, ClassVar, NamedTuple
 
-from foxspread.mesh.configuration.idempotency import apply_change, collectable, digest_of_change
+from foxspread.mesh.configuration.idempotency import apply_change, digest_of_change
 from foxspread.mesh.configuration.items import Item, Key
-from foxspread.mesh.errors import Failure, conflict, outcome_unknown
+from foxspread.mesh.configuration.retention import collectable
+from foxspread.mesh.errors import Conflict, Failure, OutcomeUnknown
 from foxspread.mesh.replication.acceptor import MEMBERS_KEY, Acceptor, current_replies
 from foxspread.mesh.replication.learner import CommittedItem, ProposalNumber, Row, unpack_row
 from foxspread.mesh.replication.membership import MemberSet, differs_by_one, is_quorum, member_set_of
@@ -120,7 +121,7 @@
             self.clock_seen = clock, now
         self._expire_calls(now, out)
         if self.proposal_number is not None and now >= self.phase_deadline:
-            self._back_off(now, 0.0)
+            self._start_backoff(now, 0.0)
         if self.proposal_number is None and now >= self.next_attempt_at and self._has_work:
             self._start_attempt(now, out)
         return out
@@ -160,11 +161,11 @@
     # Replies, by their type.
 
     def _on_nack(self, now: float, sender: str, message: Nack, out: ProposerOutput) -> None:
-        self._back_off(now, self.draw())
+        self._start_backoff(now, self.draw())
 
     def _on_stale_epoch(self, now: float, sender: str, message: StaleEpoch, out: ProposerOutput) -> None:
         self._learn(message.committed_number, message.missing_rows, out)
-        self._back_off(now, self.draw())
+        self._start_backoff(now, self.draw())
 
     def _on_promise(self, now: float, sender: str, message: Promise, out: ProposerOutput) -> None:
         if self.proposed_delta is None:
@@ -199,7 +200,7 @@
         for calls in (self.waiting, self.running):
             for call in [each for each in calls if now >= each.deadline]:
                 calls.remove(call)
-                out.completed.append(CompletedCall(call.token, outcome_unknown("no majority in time")))
+                out.completed.append(CompletedCall(call.token, OutcomeUnknown("no majority in time")))
 
     def _start_attempt(self, now: float, out: ProposerOutput) -> None:
         acceptor = self.acceptor
@@ -242,7 +243,7 @@
         acceptor, promises = self.acceptor, current_replies(self.promises)
         newest = max(promises.values(), key=lambda promise: promise.committed_number, default=None)
         if newest is not None and not self._learn(newest.committed_number, newest.missing_rows, out):
-            return self._back_off(now, 1.0)  # until a snapshot has brought what is missing
+            return self._start_backoff(now, 1.0)  # until a snapshot has brought what is missing
         sets = [acceptor.members]
         last = max(promises.values(), key=lambda promise: promise.accepted, default=None)
         if last is not None and last.accepted > acceptor.learner.committed_number:
@@ -253,7 +254,7 @@
             self.promises = promises
             self._propose(now, out)
 
-    def _back_off(self, now: float, draw: float) -> None:
+    def _start_backoff(self, now: float, draw: float) -> None:
         """Ends the attempt; the next one begins after `draw` times the backoff."""
         self.proposal_number = None
         self.lost_attempts = min(self.lost_attempts + 1, BACKOFF_DOUBLINGS_LIMIT)
@@ -292,9 +293,9 @@
         by_key = {item.key: item for item in call.items}
         if (change := by_key.get(MEMBERS_KEY)) is not None:
             if MEMBERS_KEY in delta:
-                return {}, outcome_unknown("another change of members is not settled yet")
+                return {}, OutcomeUnknown("another change of members is not settled yet")
             if not differs_by_one(self.acceptor.members, member_set_of(change)):
-                return {}, conflict("members change by one machine at a time")
+                return {}, Conflict("members change by one machine at a time")
         clock, seen_at = self.clock_seen
         agreed_time = clock + CLOCK_RATE * max(0.0, now - seen_at)
         return apply_change(proposed, call.items, call.digest, agreed_time)
--- a/foxspread/mesh/simulation/mutants.py
+++ b/foxspread/mesh/simulation/mutants.py
@@ -35,7 +35,7 @@
 
     def __init__(self, me: str, saved: RecoveredState) -> None:
         super().__init__(me, saved)
-        self.voting = self.members_known = True
+        self.voting = self.members_confirmed = True
 
 
 class EnrolledByOne(Acceptor):
@@ -234,7 +234,9 @@
     """What held under a number is not known once a newer one holds."""
 
     def _evaluate(self, proposed: dict, delta: dict, call: PendingCall, now: float) -> tuple:
-        return super()._evaluate({key: item.bare for key, item in proposed.items()}, delta, call, now)
+        return super()._evaluate(
+            {key: item.without_history for key, item in proposed.items()}, delta, call, now
+        )
 
 
 class RefusalNotAgreed(Proposer):
@@ -286,7 +288,7 @@
     def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
         learned = super().take_enrolled(sender, message)
         if self.enrolment_target is not None:
-            self.enrolment_target, self.voting, self.members_known = None, True, True
+            self.enrolment_target, self.voting, self.members_confirmed = None, True, True
         return learned
 
 
@@ -364,8 +366,8 @@
 class ReadyByAnyBasis(Readiness):
     """Ready by whatever was told, however old."""
 
-    def told(self, now: float, asked_at: float, age: float | None) -> None:
-        super().told(now, now, 0.0)
+    def record_basis(self, now: float, requested_at: float, age_s: float | None) -> None:
+        super().record_basis(now, now, 0.0)
 
 
 CORES: dict[str, Cores] = {
--- a/foxspread/mesh/transport/messages.py
+++ b/foxspread/mesh/transport/messages.py
@@ -115,6 +115,11 @@
         """Its fields, in the order of the wire."""
         return {KIND: self.kind}
 
+    @classmethod
+    def decode(cls, fields: Fields) -> Self:
+        """It has no other fields."""
+        return cls()
+
 
 @dataclass(frozen=True, slots=True)
 class Have:
@@ -240,7 +245,13 @@
 
 
 HEARTBEAT_FIELDS = Heartbeat().packed()
-CONNECTION_MESSAGES = {each.kind: each for each in (Hello, Have, Pull, PullResponse, QuorumContactChange)}
+DECODERS: dict[str, Callable[[Fields], Message]] = {
+    each.kind: each.decode
+    for each in (
+        *(Hello, Heartbeat, Have, Pull, PullResponse, QuorumContactChange),
+        *(ShuffleRequest, ShuffleResponse),
+    )
+}
 
 
 def kind_of(fields: Fields) -> str | None:
