--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -23,12 +23,12 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parents[1]))
 
 from foxspread import change  # noqa: E402
-from foxspread.agreed.contents import content  # noqa: E402
-from foxspread.agreed.follower import Follower  # noqa: E402
-from foxspread.agreed.holder import Holder, Mode  # noqa: E402
+from foxspread.fleet_rules.version_content import content  # noqa: E402
+from foxspread.fleet_rules.lease_client import Follower  # noqa: E402
+from foxspread.fleet_rules.lease_holder import Holder, Mode  # noqa: E402
 from foxspread.config import address  # noqa: E402
 from foxspread.consensus.client import Client, call  # noqa: E402
-from foxspread.lab.processes import whole as wholes  # noqa: E402
+from foxspread.lab.processes import end_to_end  # noqa: E402
 from foxspread.lab.processes.fleet import Fleet, processor, resident  # noqa: E402
 from foxspread.lab.processes.real import ERRORS  # noqa: E402
 from foxspread.lab.processes.scenario import Scenario  # noqa: E402
@@ -327,7 +327,7 @@
         done = whole = 0
         faults: list[str] = []
         for seed in range(1, seeds + 1):
-            found = await wholes.played(seed, **{"faults": False, "steady": True, "alone": 60.0, **told})
+            found = await end_to_end.played(seed, **{"faults": False, "steady": True, "alone": 60.0, **told})
             faults += found.faults
             rows = [row for row in found.shares if 4 <= row[0] < 20]
             done += sum(share * count for _, share, count in rows)
--- a/foxspread/__main__.py
+++ b/foxspread/__main__.py
@@ -25,7 +25,7 @@
     )
     rules = None
     if added.agreed is not None:
-        from foxspread.agreed.party import Party  # the bare sidecar does not load it
+        from foxspread.fleet_rules.sidecar_rules import Party  # the bare sidecar does not load it
 
         rules = Party(added.agreed, told.name, told.decisions)
     sidecar = Sidecar(loop, told, learnt=added.learnt, rules=rules)
--- a/foxspread/cli/coordinator.py
+++ b/foxspread/cli/coordinator.py
@@ -94,7 +94,7 @@
     import uvloop
     from loguru import logger
 
-    from foxspread.agreed import process as agreed
+    from foxspread.fleet_rules import coordinator_process as agreed
     from foxspread.consensus import file as files
     from foxspread.consensus.disk import DiskError
     from foxspread.net import log
--- a/foxspread/cli/processes.py
+++ b/foxspread/cli/processes.py
@@ -12,19 +12,19 @@
 import click
 
 from foxspread.lab.processes import (
-    agreed,
-    agreed_mutants,
-    agreed_real,
-    duties,
-    duties_explorer,
+    end_to_end,
+    end_to_end_child,
     explorer,
+    fleet_rules_mutants,
+    fleet_rules_processes,
+    fleet_rules_simulation,
     mutants,
     real,
     scenario,
+    singleton_explorer,
+    singleton_simulation,
     virtual,
-    whole_child,
 )
-from foxspread.lab.processes import whole as wholes
 from foxspread.lab.processes.scenario import Scenario
 from foxspread.lab.scenario import ScenarioError, SocketsError
 
@@ -167,13 +167,13 @@
     sys.exit(1 if missed else 0)
 
 
-def acted(plan: agreed.AgreedPlan, seed: int, mutant: str) -> agreed.Result:
+def acted(plan: fleet_rules_simulation.AgreedPlan, seed: int, mutant: str) -> fleet_rules_simulation.Result:
     """A seed of sidecars that act on agreed rules."""
     if not mutant:
-        return agreed.played(plan, seed)
-    broken = agreed_mutants.MUTANTS[mutant]
-    agreed_mutants.LEASES.clear()
-    return agreed.played(replace(plan, **broken.plan), seed, broken.broken)
+        return fleet_rules_simulation.played(plan, seed)
+    broken = fleet_rules_mutants.MUTANTS[mutant]
+    fleet_rules_mutants.LEASES.clear()
+    return fleet_rules_simulation.played(replace(plan, **broken.plan), seed, broken.broken)
 
 
 @processes.command("agreed")
@@ -191,7 +191,7 @@
 )
 @click.option(
     "--mutant",
-    type=click.Choice(sorted({*agreed_mutants.MUTANTS, *whole_child.MUTANTS})),
+    type=click.Choice(sorted({*fleet_rules_mutants.MUTANTS, *end_to_end_child.MUTANTS})),
     help="A broken one in its place; with --whole those of whole sidecars.",
 )
 @JSON
@@ -207,16 +207,16 @@
 ) -> None:
     """Sidecars that act on agreed rules, in virtual time: each act is judged by the version in force at its
     moment. Exit code 1 where a rule is broken."""
-    if mutant and mutant not in (whole_child.MUTANTS if whole else agreed_mutants.MUTANTS):
+    if mutant and mutant not in (end_to_end_child.MUTANTS if whole else fleet_rules_mutants.MUTANTS):
         raise click.UsageError(f"--mutant {mutant} is not there {'with' if whole else 'without'} --whole")
     if cases:
-        return sys.exit(wholly({name: {"name": name} for name in wholes.CASES}, wholes.case, as_json))
+        return sys.exit(wholly({name: {"name": name} for name in end_to_end.CASES}, end_to_end.case, as_json))
     if whole:
         runs = {f"seed {seed}": {"seed": seed, "cars": sidecars, "mutant": mutant or ""} for seed in seeds}
-        return sys.exit(wholly(runs, wholes.played, as_json))
+        return sys.exit(wholly(runs, end_to_end.played, as_json))
     if as_processes:
         return sys.exit(really(seeds, sidecars, mutant or "", as_json))
-    plan, broken = replace(agreed.AgreedPlan(), cars=sidecars), 0
+    plan, broken = replace(fleet_rules_simulation.AgreedPlan(), cars=sidecars), 0
     acts: dict[str, int] = {}
     worst: dict[str, float] = {}
     settling: list[float] = []
@@ -255,7 +255,7 @@
 def really(seeds: range, sidecars: int, mutant: str, as_json: bool) -> int:
     broken = False
     for seed in seeds:
-        found = asyncio.run(agreed_real.played(seed, cars=sidecars, mutant=mutant))
+        found = asyncio.run(fleet_rules_processes.played(seed, cars=sidecars, mutant=mutant))
         broken |= bool(found.faults)
         if as_json:
             click.echo(json.dumps(asdict(found)))
@@ -289,11 +289,11 @@
     return 1 if broken else 0
 
 
-def dutiful(plan: duties.DutyPlan, seed: int, mutant: str) -> duties.Result:
+def dutiful(plan: singleton_simulation.DutyPlan, seed: int, mutant: str) -> singleton_simulation.Result:
     if not mutant:
-        return duties.played(plan, seed)
-    broken = duties.MUTANTS[mutant]
-    return duties.played(replace(plan, **broken.plan), seed, broken.broken)
+        return singleton_simulation.played(plan, seed)
+    broken = singleton_simulation.MUTANTS[mutant]
+    return singleton_simulation.played(replace(plan, **broken.plan), seed, broken.broken)
 
 
 @processes.command("duties")
@@ -302,7 +302,9 @@
 @click.option(
     "--jobs", default=os.cpu_count() or 1, type=click.IntRange(1, 256), help="Processes that search."
 )
-@click.option("--mutant", type=click.Choice(list(duties.MUTANTS)), help="A broken one in its place.")
+@click.option(
+    "--mutant", type=click.Choice(list(singleton_simulation.MUTANTS)), help="A broken one in its place."
+)
 @click.option("--explore", is_flag=True, help="All states of small cases instead, broken ones among them.")
 @JSON
 def duties_(
@@ -312,7 +314,7 @@
     rule is broken."""
     if explore:
         return sys.exit(duties_explored(as_json))
-    plan, broken, moves = replace(duties.DutyPlan(), cars=instances), 0, []
+    plan, broken, moves = replace(singleton_simulation.DutyPlan(), cars=instances), 0, []
     counts: dict[str, int] = {}
     with ProcessPoolExecutor(min(jobs, len(seeds)), mp_context=get_context("spawn")) as pool:
         for result in pool.map(dutiful, [plan] * len(seeds), seeds, [mutant or ""] * len(seeds)):
@@ -341,10 +343,10 @@
 def duties_explored(as_json: bool) -> int:
     """Exit code 1 where a sound one breaks an invariant, or a broken one none."""
     wrong = False
-    for case, mutant in [(case, "") for case in duties_explorer.CASES] + [
-        (case, name) for name, (case, _) in duties_explorer.MUTANTS.items()
+    for case, mutant in [(case, "") for case in singleton_explorer.CASES] + [
+        (case, name) for name, (case, _) in singleton_explorer.MUTANTS.items()
     ]:
-        found = duties_explorer.explored(case, mutant)
+        found = singleton_explorer.explored(case, mutant)
         wrong |= bool(found.fault) != bool(mutant)
         if as_json:
             click.echo(json.dumps({"case": case, "mutant": mutant} | asdict(found)))
--- a/foxspread/cli/rules.py
+++ b/foxspread/cli/rules.py
@@ -12,9 +12,9 @@
 
 import click
 
-from foxspread.agreed import process as content
-from foxspread.agreed import keys
-from foxspread.agreed.course import Terms
+from foxspread.fleet_rules import coordinator_process as content
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.rollout import Terms
 from foxspread.cli.coordinator import AT, JSON, WITHIN, asked, printed
 from foxspread.config import Address, ConfigError
 from foxspread.consensus.client import Client, Reply, Unreached, call
@@ -287,11 +287,14 @@
     if terms is None:
         raise click.ClickException("no terms are agreed yet")
     longest = Terms(**terms).bound()
-    rows = {path: longest if key.kind is keys.Kind.SWITCH else 0.0 for path, key in keys.KEYS.items()}
+    rows = {
+        path: longest if key.kind is compatibility.Kind.SWITCH else 0.0
+        for path, key in compatibility.KEYS.items()
+    }
     if as_json:
         return click.echo(json.dumps(rows))
     for path, seconds in rows.items():
-        click.echo(f"{path}  {seconds:g} s  {keys.KEYS[path].kind.value}")
+        click.echo(f"{path}  {seconds:g} s  {compatibility.KEYS[path].kind.value}")
 
 
 @rules.command()
--- a/foxspread/agreed/process.py
+++ b/foxspread/fleet_rules/coordinator_process.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
-from foxspread.agreed.course import Terms
-from foxspread.agreed.drastic import drastic
-from foxspread.agreed.holder import Ask, Grant
-from foxspread.agreed.steward import Steward
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.rollout import Terms
+from foxspread.fleet_rules.safety_check import drastic
+from foxspread.fleet_rules.lease_holder import Ask, Grant
+from foxspread.fleet_rules.lease_manager import Steward
 from foxspread.config import ConfigError, Section
 from foxspread.consensus.coordinator import Status
 from foxspread.consensus.file import Told
@@ -29,9 +29,9 @@
     """What a version must be before it is proposed. Raises `ConfigError` with key and value."""
     try:
         found = content(text)
-    except keys.NoRule as error:
+    except compatibility.NoRule as error:
         raise ConfigError(str(error)) from None
-    for fault in keys.faults(found.alone, found.rules):
+    for fault in compatibility.faults(found.alone, found.rules):
         raise ConfigError(fault)
 
 
--- a/foxspread/agreed/follower.py
+++ b/foxspread/fleet_rules/lease_client.py
@@ -10,7 +10,7 @@
 import json
 from collections.abc import Callable, Sequence
 
-from foxspread.agreed.holder import Acting, Ask, Grant, Holder
+from foxspread.fleet_rules.lease_holder import Acting, Ask, Grant, Holder
 from foxspread.config import Address
 from foxspread.consensus.client import call
 from foxspread.net.http import BadMessage
--- a/foxspread/agreed/holder.py
+++ b/foxspread/fleet_rules/lease_holder.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxspread.agreed import keys
-from foxspread.agreed.keys import Flat
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.compatibility import Flat
 
 RETRY_LEAST, RETRY_MOST = 0.05, 2.0  # seconds between two tries where no answer comes
 
@@ -209,7 +209,9 @@
             return
         settled = self.contents[self.settled]
         self.rules = (
-            keys.between(settled.rules, self.contents[self.next].rules) if self.next else settled.rules
+            compatibility.between(settled.rules, self.contents[self.next].rules)
+            if self.next
+            else settled.rules
         )
         self.alone = settled.alone
 
--- a/foxspread/agreed/steward.py
+++ b/foxspread/fleet_rules/lease_manager.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from foxspread.agreed.course import Announce, Close, Course, Drop, Force, Open, Terms, Withdraw
-from foxspread.agreed.holder import Ask, Grant
+from foxspread.fleet_rules.rollout import Announce, Close, Course, Drop, Force, Open, Terms, Withdraw
+from foxspread.fleet_rules.lease_holder import Ask, Grant
 from foxspread.consensus.coordinator import Answer, Coordinator, Out, Status
 from foxspread.consensus.core import Refused, Role
 from foxspread.consensus.messages import Row, Snapshot, encoded
--- a/foxspread/agreed/course.py
+++ b/foxspread/fleet_rules/rollout.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
 from foxspread.config import ConfigError
 from foxspread.consensus.messages import Row, encoded
 from foxspread.consensus.versions import Conflict, Done, Misused, Put, State, Version, Versions
@@ -84,7 +84,7 @@
     alones: list[int]
     withdrawn: dict[int, str]
     terms: Terms | None
-    more: bytes = b""  # of what stands on it (foxspread/duties)
+    more: bytes = b""  # of what stands on it (foxspread/singleton)
 
 
 class Course(Versions):
@@ -131,7 +131,7 @@
     def _has_alone(self, number: int) -> bool:
         try:
             return bool(content(self.by_number[number].content).alone)
-        except (ConfigError, keys.NoRule):
+        except (ConfigError, compatibility.NoRule):
             return True
 
     def unfit(self, number: int) -> str:
@@ -139,15 +139,15 @@
         try:
             mine = content(self.by_number[number].content)
             for faults in (
-                keys.faults(mine.alone, mine.rules),
+                compatibility.faults(mine.alone, mine.rules),
                 *(
-                    keys.faults(content(self.by_number[each].content).alone, mine.rules)
+                    compatibility.faults(content(self.by_number[each].content).alone, mine.rules)
                     for each in self.alones
                 ),
             ):
                 for fault in faults:
                     return fault
-        except (ConfigError, keys.NoRule) as error:
+        except (ConfigError, compatibility.NoRule) as error:
             return str(error)
         return ""
 
--- a/foxspread/agreed/drastic.py
+++ b/foxspread/fleet_rules/safety_check.py
@@ -1,7 +1,7 @@
 """What a person may not have meant: a version that leaves a zone without servers, or takes many out at once.
 Such a one has to be put with `--even-so`."""
 
-from foxspread.agreed.keys import Flat, usable
+from foxspread.fleet_rules.compatibility import Flat, usable
 
 SHARE = 1 / 3  # of the servers that may go at once
 
--- a/foxspread/agreed/party.py
+++ b/foxspread/fleet_rules/sidecar_rules.py
@@ -19,10 +19,10 @@
 
 from loguru import logger
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
-from foxspread.agreed.follower import Follower
-from foxspread.agreed.holder import Acting, Content, Holder, Kept, Mode
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.lease_client import Follower
+from foxspread.fleet_rules.lease_holder import Acting, Content, Holder, Kept, Mode
 from foxspread.config import ConfigError, NamedServer, Section, named_server, settings
 from foxspread.operator.file import Agreed
 from foxspread.sums import Chance
@@ -132,9 +132,9 @@
         held = self.holder.contents.get(self.holder.settled)
         return held.digest if held is not None else ""
 
-    def _ruled(self, rules: keys.Flat) -> Ruled:
+    def _ruled(self, rules: compatibility.Flat) -> Ruled:
         """Raises `ConfigError` with key and value."""
-        tree = keys.tree(rules)
+        tree = compatibility.tree(rules)
         lists = tree.get("lists", {})
         own = {"az": self.own["zone"], "position": self.own["position"]}
         found = settings(Section(tree.get("settings", {}) | own, "settings"), self.own["seed"])
@@ -156,7 +156,7 @@
             for rules in (found.rules, found.alone):
                 if rules:
                     self._ruled(rules)
-        except (ConfigError, keys.NoRule) as error:
+        except (ConfigError, compatibility.NoRule) as error:
             raise ValueError(str(error)) from None
         return found
 
--- a/foxspread/lab/processes/child.py
+++ b/foxspread/lab/processes/child.py
@@ -10,9 +10,9 @@
 import sys
 from typing import Any
 
-from foxspread.agreed.course import Course
-from foxspread.agreed.process import StewardProcess
-from foxspread.agreed.steward import Steward
+from foxspread.fleet_rules.rollout import Course
+from foxspread.fleet_rules.coordinator_process import StewardProcess
+from foxspread.fleet_rules.lease_manager import Steward
 from foxspread.cli.coordinator import serve
 from foxspread.consensus.clock import Clock
 from foxspread.consensus.disk import Disk
--- a/foxspread/lab/processes/whole.py
+++ b/foxspread/lab/processes/end_to_end.py
@@ -17,11 +17,11 @@
 from datetime import datetime
 from typing import Any
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
-from foxspread.agreed.keys import Flat
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.compatibility import Flat
 from foxspread.config import Address, address
-from foxspread.lab.processes.agreed_real import LATE, Car, Sidecars, Told
+from foxspread.lab.processes.fleet_rules_processes import LATE, Car, Sidecars, Told
 from foxspread.lab.processes.relay import Relay
 
 STARTED = re.compile(r"start name=\S+ listen=(\S+)")
@@ -214,7 +214,7 @@
         told, file = self.write()
         self.listen = None
         broken = self.play.mutant and (not self.play.who or self.name in self.play.who)
-        module = ["foxspread.lab.processes.whole_child"] if broken else ["foxspread"]
+        module = ["foxspread.lab.processes.end_to_end_child"] if broken else ["foxspread"]
         mutant = [self.play.mutant] if broken else []
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", *module, *mutant, "--operator", file,
@@ -402,7 +402,10 @@
                         against = self._against(each, earlier, content(self.texts[number]).rules)
                 for path, text in against:
                     ago = each.at - changed.get(path, 0.0)
-                    switch = not path.endswith(".") and keys.key_of(path).kind is keys.Kind.SWITCH
+                    switch = (
+                        not path.endswith(".")
+                        and compatibility.key_of(path).kind is compatibility.Kind.SWITCH
+                    )
                     if switch:
                         found.worst[path] = max(found.worst.get(path, 0.0), ago)
                         if ago <= self.scenario.lease * 1.02 + LATE:
--- a/foxspread/lab/processes/whole_child.py
+++ b/foxspread/lab/processes/end_to_end_child.py
@@ -1,6 +1,6 @@
 """A whole sidecar with one thing broken, for the judge to be tried on:
 
-python -m foxspread.lab.processes.whole_child MUTANT --operator FILE
+python -m foxspread.lab.processes.end_to_end_child MUTANT --operator FILE
 """
 
 import sys
@@ -9,14 +9,14 @@
 
 from foxspread import __main__ as sidecar
 from foxspread import change
-from foxspread.agreed import party
-from foxspread.lab.processes.agreed_mutants import FromAnswer, Newest
+from foxspread.fleet_rules import sidecar_rules
+from foxspread.lab.processes.fleet_rules_mutants import FromAnswer, Newest
 from foxspread.net.sidecar import Sidecar
 
 
 def holder(kind: type) -> Callable[[], None]:
     def broken() -> None:
-        party.Holder = kind
+        sidecar_rules.Holder = kind
 
     return broken
 
@@ -31,8 +31,8 @@
         self.counts.know(self.facade.categories)
 
     Sidecar.__init__ = begun
-    present = party.Party.present
-    party.Party.present = lambda self: present(self) or not self.holder.settled
+    present = sidecar_rules.Party.present
+    sidecar_rules.Party.present = lambda self: present(self) or not self.holder.settled
 
 
 def old_lookups() -> None:
@@ -64,15 +64,15 @@
 
 def older_build() -> None:
     """Not broken: it knows no more than four hand-offs, and says so."""
-    check = party.Party._check
+    check = sidecar_rules.Party._check
 
-    def picky(self: party.Party, text: bytes) -> Any:
+    def picky(self: sidecar_rules.Party, text: bytes) -> Any:
         found = check(self, text)
         if found.rules["settings.limits.max_hand_offs"] > 4:
             raise ValueError("'settings.limits.max_hand_offs' must be at most 4")
         return found
 
-    party.Party._check = picky
+    sidecar_rules.Party._check = picky
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
--- a/foxspread/lab/processes/agreed_mutants.py
+++ b/foxspread/lab/processes/fleet_rules_mutants.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from foxspread.agreed.course import Course, Terms
-from foxspread.agreed.holder import Acting, Ask, Grant, Holder, Kept, Mode
-from foxspread.agreed.steward import Heard, Lead, Steward
+from foxspread.fleet_rules.rollout import Course, Terms
+from foxspread.fleet_rules.lease_holder import Acting, Ask, Grant, Holder, Kept, Mode
+from foxspread.fleet_rules.lease_manager import Heard, Lead, Steward
 from foxspread.consensus.coordinator import Answer, Status
 from foxspread.consensus.core import Role
-from foxspread.lab.processes import agreed
-from foxspread.lab.processes.agreed import AgreedPlan, Broken, Result
+from foxspread.lab.processes import fleet_rules_simulation
+from foxspread.lab.processes.fleet_rules_simulation import AgreedPlan, Broken, Result
 
 
 class FromAnswer(Holder):
@@ -197,6 +197,6 @@
     mutant = MUTANTS[name]
     for seed in seeds:
         LEASES.clear()
-        result = agreed.played(replace(base, **mutant.plan), seed, mutant.broken)
+        result = fleet_rules_simulation.played(replace(base, **mutant.plan), seed, mutant.broken)
         if result.faults:
             yield result
--- a/foxspread/lab/processes/agreed_real.py
+++ b/foxspread/lab/processes/fleet_rules_processes.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
-from foxspread.agreed.keys import Kind
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.compatibility import Kind
 from foxspread.consensus.client import call
-from foxspread.lab.processes.agreed import drawn
+from foxspread.lab.processes.fleet_rules_simulation import drawn
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.real import ERRORS, Play
 from foxspread.lab.processes.relay import Relay
@@ -82,7 +82,12 @@
         }
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "foxspread.lab.processes.car", json.dumps(told), stdout=log, stderr=log
+                sys.executable,
+                "-m",
+                "foxspread.lab.processes.lease_holder_process",
+                json.dumps(told),
+                stdout=log,
+                stderr=log,
             )
 
     async def end(self) -> None:
@@ -328,9 +333,9 @@
                 continue
             since, number = known[-1]
             rules = content(self.texts[number]).rules
-            for path, text in keys.against(act.rules, rules):
+            for path, text in compatibility.against(act.rules, rules):
                 ago = act.at - since
-                if not path.endswith(".") and keys.key_of(path).kind is Kind.SWITCH:
+                if not path.endswith(".") and compatibility.key_of(path).kind is Kind.SWITCH:
                     found.worst[path] = max(found.worst.get(path, 0.0), ago)
                     if ago <= self.scenario.lease * 1.02 + LATE:
                         continue
--- a/foxspread/lab/processes/agreed.py
+++ b/foxspread/lab/processes/fleet_rules_simulation.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
-from foxspread.agreed.course import Course, Terms
-from foxspread.agreed.holder import Acting, Ask, Content, Grant, Holder, Kept, Mode
-from foxspread.agreed.keys import Kind
-from foxspread.agreed.steward import Steward
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.rollout import Course, Terms
+from foxspread.fleet_rules.lease_holder import Acting, Ask, Content, Grant, Holder, Kept, Mode
+from foxspread.fleet_rules.compatibility import Kind
+from foxspread.fleet_rules.lease_manager import Steward
 from foxspread.consensus.coordinator import Answer, Status
 from foxspread.consensus.messages import Snapshot
 from foxspread.lab.processes import virtual
@@ -332,8 +332,8 @@
         if key not in self.verdicts:
             rules = self.checked(self.texts[settled]).rules
             wrong, late = [], []
-            for path, text in keys.against(acting.rules, rules):
-                switch = not path.endswith(".") and keys.key_of(path).kind is Kind.SWITCH
+            for path, text in compatibility.against(acting.rules, rules):
+                switch = not path.endswith(".") and compatibility.key_of(path).kind is Kind.SWITCH
                 (late if switch else wrong).append(f"{path} {text}, version {settled} is in force")
             self.verdicts[key] = (wrong, late, acting.rules)  # kept, so that the id is not used again
         wrong, late = self.verdicts[key][:2]
--- a/foxspread/lab/processes/car.py
+++ b/foxspread/lab/processes/lease_holder_process.py
@@ -2,7 +2,7 @@
 Not a whole sidecar: what it would hand off is a line to a stand-in server, with the rules that it acted
 under, written right after `may` said yes.
 
-    python -m foxspread.lab.processes.car JSON
+    python -m foxspread.lab.processes.lease_holder_process JSON
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 import sys
 from typing import Any
 
-from foxspread.agreed.contents import content
-from foxspread.agreed.follower import Follower
-from foxspread.agreed.holder import Holder, Kept, Mode
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.lease_client import Follower
+from foxspread.fleet_rules.lease_holder import Holder, Kept, Mode
 from foxspread.config import address
 from foxspread.consensus.clock import Clock
 
@@ -31,7 +31,7 @@
     # The clock of this process began anew: what was kept counts by the machine's, which went on.
     kind = Holder
     if told["mutant"]:
-        from foxspread.lab.processes.agreed_mutants import MUTANTS
+        from foxspread.lab.processes.fleet_rules_mutants import MUTANTS
 
         kind = MUTANTS[told["mutant"]].broken.holder
     holder = kind(clock() + clock.zero, told["id"], check, chance.random, 0.02, boot, kept)
--- a/foxspread/lab/processes/duties_explorer.py
+++ b/foxspread/lab/processes/singleton_explorer.py
@@ -20,10 +20,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from foxspread.duties.guard import Guard
-from foxspread.duties.owner import DutyAsk, Given, Owner
-from foxspread.duties.registry import Did, Free, Intend, Lose, Registry, Take, Tell, Yield
-from foxspread.lab.processes import duties as broken
+from foxspread.singleton.fencing import Guard
+from foxspread.singleton.lease_holder import DutyAsk, Given, Owner
+from foxspread.singleton.lease_table import Did, Free, Intend, Lose, Registry, Take, Tell, Yield
+from foxspread.lab.processes import singleton_simulation as broken
 
 DUTY = "d"
 LEASE = 2.0
--- a/foxspread/lab/processes/duties.py
+++ b/foxspread/lab/processes/singleton_simulation.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from foxspread.agreed.course import Terms
+from foxspread.fleet_rules.rollout import Terms
 from foxspread.consensus.coordinator import Answer, Status
-from foxspread.duties.chief import Chief
-from foxspread.duties.guard import Guard
-from foxspread.duties.owner import DutyAsk, Given, Owner
-from foxspread.duties.registry import Did, DutyCommand, Intend, Registry, Tell, Wish
+from foxspread.singleton.lease_manager import Chief
+from foxspread.singleton.fencing import Guard
+from foxspread.singleton.lease_holder import DutyAsk, Given, Owner
+from foxspread.singleton.lease_table import Did, DutyCommand, Intend, Registry, Tell, Wish
 from foxspread.lab.processes import virtual
-from foxspread.lab.processes.agreed import CAR_FAULTS, NODE_FAULTS, AgreedWorld, Car, Reply
+from foxspread.lab.processes.fleet_rules_simulation import CAR_FAULTS, NODE_FAULTS, AgreedWorld, Car, Reply
 from foxspread.lab.processes.judge import Fault, Judge
 from foxspread.lab.processes.virtual import Node, World
 
--- a/foxspread/net/sidecar.py
+++ b/foxspread/net/sidecar.py
@@ -122,7 +122,7 @@
 
 
 class Rules(Protocol):
-    """Settings that come from elsewhere and may change, or run out (foxspread/agreed/party.py)."""
+    """Settings that come from elsewhere and may change, or run out (`fleet_rules/sidecar_rules.py`)."""
 
     def start(self, changed: Callable[[Ruled], None]) -> None: ...
 
--- a/foxspread/operator/file.py
+++ b/foxspread/operator/file.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Agreed:
-    """Rules that sidecars act on together (foxspread/agreed); any of the coordinators answers."""
+    """Rules that sidecars act on together (foxspread/fleet_rules); any of the coordinators answers."""
 
     coordinators: tuple[Address, ...]
     file: str = ""  # of the part that one acts on whose lease has run out, over a restart
--- a/foxspread/duties/chief.py
+++ b/foxspread/singleton/lease_manager.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from foxspread.agreed.course import Course
-from foxspread.agreed.steward import ASKS_MOST, GATHER, STRAY_MOST, Steward
+from foxspread.fleet_rules.rollout import Course
+from foxspread.fleet_rules.lease_manager import ASKS_MOST, GATHER, STRAY_MOST, Steward
 from foxspread.consensus.coordinator import Answer, Status
 from foxspread.consensus.core import Refused, Role
 from foxspread.consensus.messages import Row, Snapshot, encoded
-from foxspread.duties import registry
-from foxspread.duties.owner import DutyAsk, Given
-from foxspread.duties.registry import DutyCommand, Free, Lose, Registry, Take, Wish, Yield, name_of
+from foxspread.singleton import lease_table
+from foxspread.singleton.lease_holder import DutyAsk, Given
+from foxspread.singleton.lease_table import DutyCommand, Free, Lose, Registry, Take, Wish, Yield, name_of
 
 CALM = 10  # leases in which nothing was lost or moved, before a duty is moved to where it belongs
 AGAIN = 0.5  # a step that was proposed and not seen by then is proposed again
@@ -187,11 +187,11 @@
                     self._step(now, duty, Yield(duty, token))
         offered = {duty for _, offer in lead.heard.values() for duty in offer.offers}
         for name in sorted(offered | self.duties.duties.keys()):
-            self._look_at(now, name, self.duties.duties.get(name) or registry.Duty(), lease)
+            self._look_at(now, name, self.duties.duties.get(name) or lease_table.Duty(), lease)
         if now - lead.stirred > CALM * lease:
             self._settle(now, offered)
 
-    def _look_at(self, now: float, name: str, duty: registry.Duty, lease: float) -> None:
+    def _look_at(self, now: float, name: str, duty: lease_table.Duty, lease: float) -> None:
         lead = self.duty_lead
         if duty.lost:
             if now - self.lost_at.get((name, duty.token), now) > self._pause(lease):
@@ -208,7 +208,7 @@
         """Before the next owner, where the last one was lost without a word."""
         return lease
 
-    def _next(self, now: float, name: str, duty: registry.Duty, lease: float) -> str | None:
+    def _next(self, now: float, name: str, duty: lease_table.Duty, lease: float) -> str | None:
         """Who is to have it: the one that is wished for, else whoever lost least, then by the hash."""
         there = [
             each
--- a/tests/cli/test_lab.py
+++ b/tests/cli/test_lab.py
@@ -79,5 +79,5 @@
         loaded = subprocess.run([sys.executable, "-c", "import sys, foxspread.__main__; print(*sys.modules)"],
                                 capture_output=True, text=True, check=True).stdout.split()  # fmt: skip
         ours = ("click", "rich", "msgspec", "numpy", "matplotlib", "hdrh", "foxspread.lab", "foxspread.cli",
-                "foxspread.agreed", "foxspread.consensus", "tomllib")  # fmt: skip
+                "foxspread.fleet_rules", "foxspread.consensus", "tomllib")  # fmt: skip
         self.assertEqual([name for name in ours if name in loaded], [])
--- a/tests/agreed/test_keys.py
+++ b/tests/fleet_rules/test_compatibility.py
@@ -3,11 +3,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foxspread.agreed import keys
-from foxspread.agreed.contents import content
-from foxspread.agreed.drastic import drastic
-from foxspread.agreed.keys import KEYS, Kind, NoRule
-from foxspread.agreed.process import check
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.safety_check import drastic
+from foxspread.fleet_rules.compatibility import KEYS, Kind, NoRule
+from foxspread.fleet_rules.coordinator_process import check
 from foxspread.config import ConfigError
 
 VALUES = {
@@ -17,7 +17,9 @@
     "cold": st.floats(0.1, 1.0),
     "rows": st.dictionaries(
         st.sampled_from(["docs", "pay", "extra"]),
-        st.tuples(st.integers(1, 5), st.sampled_from(keys.STRICTER), st.sampled_from(["cell", "zone"])),
+        st.tuples(
+            st.integers(1, 5), st.sampled_from(compatibility.STRICTER), st.sampled_from(["cell", "zone"])
+        ),
         min_size=1,
     ),
 }
@@ -42,17 +44,17 @@
     @given(VERSIONS, VERSIONS)
     def test_what_lies_between_is_allowed_by_both(self, one: bytes, other: bytes) -> None:
         old, new = content(one).rules, content(other).rules
-        between = keys.between(old, new)
-        switches = set(keys.switches(old, new))
+        between = compatibility.between(old, new)
+        switches = set(compatibility.switches(old, new))
         for rules in (old, new):
             for path, value in between.items():
                 if path not in switches:
-                    self.assertTrue(keys.allows(path, value, rules), path)
+                    self.assertTrue(compatibility.allows(path, value, rules), path)
         self.assertEqual(
             {path for path in between if path.endswith(".")},
             {path for path in old.keys() & new.keys() if path.endswith(".")},
         )
-        self.assertEqual(keys.between(old, old), old)
+        self.assertEqual(compatibility.between(old, old), old)
 
     def test_the_stricter_of_two(self) -> None:
         for path, one, other, wanted in (
@@ -63,7 +65,7 @@
             ("settings.categories.docs.key_scope", "cell", "zone", "cell"),
         ):
             with self.subTest(path):
-                self.assertEqual(keys.stricter(keys.key_of(path), one, other), wanted)
+                self.assertEqual(compatibility.stricter(compatibility.key_of(path), one, other), wanted)
 
     def test_every_key_says_how_it_is_seen_and_how_it_changes(self) -> None:
         for path, key in KEYS.items():
@@ -111,30 +113,30 @@
     def test_between_two_lists_are_the_servers_that_are_the_same_in_both(self) -> None:
         old = content(listed(("s.1", "a", 1), ("s2", "a", 1), ("s3", "b", 1))).rules
         new = content(listed(("s.1", "a", 1), ("s2", "a", 2), ("s4", "b", 1))).rules
-        rows = {path for path in keys.between(old, new) if path.startswith(keys.SERVERS)}
+        rows = {path for path in compatibility.between(old, new) if path.startswith(compatibility.SERVERS)}
         self.assertEqual({path for path in rows if path.endswith(".")}, {"lists.servers.s.1."})
-        self.assertEqual({keys._row(path) for path in rows}, {"lists.servers.s.1."})
-        self.assertEqual(keys.tree(old)["lists"]["servers"][0]["id"], "s.1")
-        self.assertEqual(keys.flat(keys.tree(old)), old)
+        self.assertEqual({compatibility._row(path) for path in rows}, {"lists.servers.s.1."})
+        self.assertEqual(compatibility.tree(old)["lists"]["servers"][0]["id"], "s.1")
+        self.assertEqual(compatibility.flat(compatibility.tree(old)), old)
 
     def test_from_discovery_to_a_list_and_back_the_old_one_holds_until_the_new_is_in_force(self) -> None:
         here, plain = content(listed(("s1", "a", 1))).rules, content(HEAD.encode()).rules
-        self.assertEqual(keys.between(here, plain), here)
-        self.assertEqual(keys.between(plain, here), plain)
-        self.assertEqual(keys.switches(plain, here), ["lists.source"])
+        self.assertEqual(compatibility.between(here, plain), here)
+        self.assertEqual(compatibility.between(plain, here), plain)
+        self.assertEqual(compatibility.switches(plain, here), ["lists.source"])
 
     def test_taken_out_by_either_and_named_by_both(self) -> None:
-        def told(lists: str) -> keys.Flat:
+        def told(lists: str) -> compatibility.Flat:
             return content(f"{HEAD}[lists]\n{lists}".encode()).rules
 
         one, other = told('taken_out = ["s2", "s1"]'), told('taken_out = ["s3"]\nonly = ["s4", "s5"]')
-        found = keys.between(one, other)
+        found = compatibility.between(one, other)
         self.assertEqual(found["lists.taken_out"], ["s1", "s2", "s3"])
         self.assertEqual(found["lists.only"], ["s4", "s5"])
         for rules in (one, other):
-            self.assertTrue(all(keys.allows(path, value, rules) for path, value in found.items()))
-        self.assertFalse(keys.allows("lists.taken_out", [], one))
-        self.assertFalse(keys.allows("lists.only", "all", other))
+            self.assertTrue(all(compatibility.allows(path, value, rules) for path, value in found.items()))
+        self.assertFalse(compatibility.allows("lists.taken_out", [], one))
+        self.assertFalse(compatibility.allows("lists.only", "all", other))
 
     def test_without_an_alone_part_servers_can_be_taken_out(self) -> None:
         check(f'{HEAD}[lists]\ntaken_out = ["s2"]\nonly = ["s1", "s2"]\n'.encode())
@@ -142,19 +144,19 @@
     def test_alone_it_sends_to_what_is_named_for_it(self) -> None:
         servers = (("s1", "a", 1), ("s2", "a", 1))
         nobody = content(listed(*servers, more=ALONE))
-        self.assertFalse([path for path in nobody.alone if path.startswith(keys.SERVERS)])
+        self.assertFalse([path for path in nobody.alone if path.startswith(compatibility.SERVERS)])
         text = listed(*servers, more=ALONE).replace(b"[lists]", b'[lists]\nalone = ["s1"]')
         one = content(text)
         self.assertEqual(
-            {path for path in one.alone if path.startswith(keys.SERVERS) and path.endswith(".")},
+            {path for path in one.alone if path.startswith(compatibility.SERVERS) and path.endswith(".")},
             {"lists.servers.s1."},
         )
         moved = content(listed(("s1", "a", 2), ("s2", "a", 1))).rules
-        self.assertTrue([fault for fault in keys.faults(one.alone, moved) if "s1.cell" in fault])
-        self.assertEqual([*keys.faults(one.alone, content(listed(("s1", "a", 1))).rules)], [])
+        self.assertTrue([fault for fault in compatibility.faults(one.alone, moved) if "s1.cell" in fault])
+        self.assertEqual([*compatibility.faults(one.alone, content(listed(("s1", "a", 1))).rules)], [])
         out = content(listed(*servers).replace(b"[lists]", b'[lists]\ntaken_out = ["s1", "s2"]')).rules
         self.assertEqual(
-            [*keys.faults(one.alone, out)],
+            [*compatibility.faults(one.alone, out)],
             ["'lists.taken_out': alone 's1' may be sent to, which is taken out"],
         )
 
--- a/tests/agreed/test_holder.py
+++ b/tests/fleet_rules/test_lease_holder.py
@@ -1,6 +1,6 @@
 import unittest
 
-from foxspread.agreed.holder import Content, Grant, Holder, Mode
+from foxspread.fleet_rules.lease_holder import Content, Grant, Holder, Mode
 
 CONTENT = {
     1: Content({"settings.siblings": 1}, {"settings.siblings": 9}),
--- a/tests/agreed/test_process.py
+++ b/tests/fleet_rules/test_processes.py
@@ -8,12 +8,12 @@
 
 from click.testing import CliRunner, Result
 
-from foxspread.agreed.contents import content
-from foxspread.agreed.follower import Follower
-from foxspread.agreed.holder import Holder, Mode
+from foxspread.fleet_rules.version_content import content
+from foxspread.fleet_rules.lease_client import Follower
+from foxspread.fleet_rules.lease_holder import Holder, Mode
 from foxspread.cli.main import foxspread
 from foxspread.consensus.clock import Clock
-from foxspread.lab.processes import agreed_real, whole
+from foxspread.lab.processes import end_to_end, fleet_rules_processes
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.scenario import Scenario
 
@@ -110,7 +110,7 @@
 
 class Processes(unittest.TestCase):
     def test_drawn_faults_and_the_newest_heard_of(self) -> None:
-        found = asyncio.run(agreed_real.played(2, cars=4, seconds=6.0, lease=1.0))
+        found = asyncio.run(fleet_rules_processes.played(2, cars=4, seconds=6.0, lease=1.0))
         self.assertEqual(found.faults, [])
         self.assertGreater(found.acts["settled"], 50)
         self.assertGreater(found.versions, 1)
@@ -121,9 +121,9 @@
         script = ((1.5, "silent", "s0", 4.0), (2.0, "stall", "s1", 1.5), (2.5, "kill", "leader", 0.5))
         told = {"cars": 3, "seconds": 6.0, "lease": 1.0, "faults": False, "script": script, "rate": 40.0}
         told["puts"] = ((0.2, 5), (1.8, 1))  # a limit is lowered while one is cut off
-        found = asyncio.run(whole.played(2, **told))
+        found = asyncio.run(end_to_end.played(2, **told))
         self.assertEqual(found.faults, [])
         self.assertEqual(found.versions, 2)
         self.assertGreater(found.lookups["done"], 100)
-        found = asyncio.run(whole.played(2, **told, mutant="newest"))
+        found = asyncio.run(end_to_end.played(2, **told, mutant="newest"))
         self.assertTrue([each for each in found.faults if "max_hand_offs so for" in each])
--- a/tests/agreed/test_party.py
+++ b/tests/fleet_rules/test_sidecar_rules.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from foxspread import change
-from foxspread.agreed.holder import Mode
-from foxspread.agreed.party import Ruled
+from foxspread.fleet_rules.lease_holder import Mode
+from foxspread.fleet_rules.sidecar_rules import Ruled
 from foxspread.config import Address, NamedServer, address
 from foxspread.consensus.client import Client
 from foxspread.lab.processes.fleet import Fleet
--- a/tests/agreed/test_virtual.py
+++ b/tests/fleet_rules/test_simulation.py
@@ -4,8 +4,8 @@
 import unittest
 from dataclasses import replace
 
-from foxspread.lab.processes import agreed, agreed_mutants
-from foxspread.lab.processes.agreed import AgreedPlan, AgreedWorld
+from foxspread.lab.processes import fleet_rules_mutants, fleet_rules_simulation
+from foxspread.lab.processes.fleet_rules_simulation import AgreedPlan, AgreedWorld
 
 SMALL = AgreedPlan(cars=6, seconds=8.0)
 CAUGHT_EARLY = ("checks_early", "newest", "forgets_closed", "loose_alone", "forces_at_once", "confirms_early")
@@ -14,7 +14,7 @@
 class Sound(unittest.TestCase):
     def test_seeds(self) -> None:
         for seed in range(1, 7):
-            result = agreed.played(SMALL, seed)
+            result = fleet_rules_simulation.played(SMALL, seed)
             self.assertEqual((seed, result.faults), (seed, []))
             self.assertGreater(result.acts["settled"], 100)
             self.assertGreater(result.versions, 0)
@@ -66,6 +66,6 @@
         base = replace(AgreedPlan(), cars=8)
         for name in CAUGHT_EARLY:
             with self.subTest(name):
-                found = next(agreed_mutants.caught(name, range(1, 60), base), None)
+                found = next(fleet_rules_mutants.caught(name, range(1, 60), base), None)
                 self.assertIsNotNone(found)
-                self.assertIn(found.faults[0].rule, agreed_mutants.MUTANTS[name].rules)
+                self.assertIn(found.faults[0].rule, fleet_rules_mutants.MUTANTS[name].rules)
--- a/tests/agreed/test_wire.py
+++ b/tests/fleet_rules/test_wire.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from foxspread.agreed import follower
-from foxspread.agreed.course import Announce, Close, Command, Course, Drop, Force, Open, Terms, Withdraw
-from foxspread.agreed.holder import Ask, Grant, Holder, Kept
-from foxspread.agreed.process import StewardProcess
-from foxspread.agreed.steward import Heard, Report
+from foxspread.fleet_rules import lease_client
+from foxspread.fleet_rules.rollout import Announce, Close, Command, Course, Drop, Force, Open, Terms, Withdraw
+from foxspread.fleet_rules.lease_holder import Ask, Grant, Holder, Kept
+from foxspread.fleet_rules.coordinator_process import StewardProcess
+from foxspread.fleet_rules.lease_manager import Heard, Report
 from foxspread.consensus.coordinator import Answer, Status
 from foxspread.consensus.messages import encoded
 from foxspread.consensus.versions import Put
@@ -75,8 +75,8 @@
 
         async def main() -> Holder:
             holder = Holder(0.0, "s1/a", lambda text: None, lambda: 0.5)
-            with mock.patch.object(follower, "call", call):
-                it = follower.Follower(holder, lambda: 1.0, ["at"], lambda: 0.5)
+            with mock.patch.object(lease_client, "call", call):
+                it = lease_client.Follower(holder, lambda: 1.0, ["at"], lambda: 0.5)
                 await it._asked(Ask("s1/a", 1.0, 2, 3, "not known"))
                 await it.close()
             return holder
--- a/tests/duties/test_core.py
+++ b/tests/singleton/test_singleton.py
@@ -3,12 +3,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foxspread.agreed.course import Course, Terms
+from foxspread.fleet_rules.rollout import Course, Terms
 from foxspread.consensus.messages import encoded
-from foxspread.duties.chief import DutyCourse, rank
-from foxspread.duties.guard import Guard
-from foxspread.duties.owner import Given, Owner
-from foxspread.duties.registry import (
+from foxspread.singleton.lease_manager import DutyCourse, rank
+from foxspread.singleton.fencing import Guard
+from foxspread.singleton.lease_holder import Given, Owner
+from foxspread.singleton.lease_table import (
     CLOSED_MOST,
     Did,
     Free,
@@ -21,7 +21,7 @@
     Wish,
     Yield,
 )
-from foxspread.lab.processes import duties, duties_explorer
+from foxspread.lab.processes import singleton_explorer, singleton_simulation
 
 NAMES = st.sampled_from(["a/1", "b/1", "c/1"])
 TOKENS = st.integers(0, 5)
@@ -140,18 +140,20 @@
 class Virtual(unittest.TestCase):
     def test_seeds(self) -> None:
         for seed in range(1, 7):
-            result = duties.played(duties.DutyPlan(seconds=10.0, settle=9.0), seed)
+            result = singleton_simulation.played(
+                singleton_simulation.DutyPlan(seconds=10.0, settle=9.0), seed
+            )
             self.assertEqual((seed, result.faults), (seed, []))
             self.assertGreater(result.counts["obeyed"], 50)
 
     def test_broken_ones_are_caught_by_their_rules(self) -> None:
         for name in ("unguarded", "checks_early", "effect_first", "repeats", "forgets"):
             with self.subTest(name):
-                self.assertIsNotNone(duties.caught(name, range(1, 20)))
+                self.assertIsNotNone(singleton_simulation.caught(name, range(1, 20)))
 
     def test_small_cases_whole(self) -> None:
         for name in ("orders", "yields"):
-            found = duties_explorer.explored(name)
+            found = singleton_explorer.explored(name)
             self.assertEqual((found.fault, found.whole), ("", True))
             self.assertGreater(found.states, 10_000)
         for name, rule in (
@@ -162,5 +164,5 @@
             ("takes_back", "exclusive"),
         ):
             with self.subTest(name):
-                fault = duties_explorer.explored(duties_explorer.MUTANTS[name][0], name).fault
+                fault = singleton_explorer.explored(singleton_explorer.MUTANTS[name][0], name).fault
                 self.assertEqual(fault.partition(":")[0], rule)
--- a/tests/duties/test_wire.py
+++ b/tests/singleton/test_wire.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from foxspread.consensus.messages import encoded
-from foxspread.duties.chief import DutyCourse, Offer, Offers
-from foxspread.duties.registry import (
+from foxspread.singleton.lease_manager import DutyCourse, Offer, Offers
+from foxspread.singleton.lease_table import (
     Did,
     DutyCommand,
     Free,
