--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -23,9 +23,9 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parents[1]))
 
 from foxspread import change  # noqa: E402
-from foxspread.fleet_rules.version_content import content  # noqa: E402
-from foxspread.fleet_rules.lease_client import Follower  # noqa: E402
-from foxspread.fleet_rules.lease_holder import Holder, Mode  # noqa: E402
+from foxspread.fleet_rules.version_content import parse_version  # noqa: E402
+from foxspread.fleet_rules.lease_client import LeaseClient  # noqa: E402
+from foxspread.fleet_rules.lease_holder import LeaseHolder, Mode  # noqa: E402
 from foxspread.config import address  # noqa: E402
 from foxspread.consensus.client import Client, call  # noqa: E402
 from foxspread.lab.processes import end_to_end  # noqa: E402
@@ -44,7 +44,7 @@
 [settings.limits]
 max_hand_offs = {hands}
 """
-IN_ONE = 250  # followers in a process of their own
+IN_ONE = 250  # clients in a process of their own
 
 
 def clock() -> float:
@@ -52,22 +52,22 @@
 
 
 async def many(first: int, count: int, ways: list[str], spread: float) -> None:
-    """A process of followers: says each second what they act on, and each change at once."""
+    """A process of clients: says each second what they act on, and each change at once."""
     chance = random.Random(first)
     at = [address(each, "at") for each in ways]
-    followers: list[Follower] = []
+    clients: list[LeaseClient] = []
 
     def told() -> None:
-        rows = [each.holder.acting(clock()) for each in followers]
-        on = [each.phase for each in rows if each.mode is Mode.SETTLED]
+        rows = [each.holder.effective(clock()) for each in clients]
+        on = [each.phase for each in rows if each.mode is Mode.IN_FORCE]
         print(json.dumps({"at": time.monotonic(), "settled": len(on), "least": min(on, default=0),
-                          "all": len(followers) == count, "asks": sum(each.calls for each in followers),
-                          "failed": sum(each.failed for each in followers)}), flush=True)  # fmt: skip
+                          "all": len(clients) == count, "asks": sum(each.calls for each in clients),
+                          "failed": sum(each.failed_calls for each in clients)}), flush=True)  # fmt: skip
 
     due = asyncio.Event()
     for number in range(first, first + count):
-        holder = Holder(clock(), f"s{number}/{first}", content, chance.random)
-        followers.append(Follower(holder, clock, at, chance.random, lambda acting: due.set()))
+        holder = LeaseHolder(clock(), f"s{number}/{first}", parse_version, chance.random)
+        clients.append(LeaseClient(holder, clock, at, chance.random, lambda effective: due.set()))
         await asyncio.sleep(spread / count)
     while True:
         told()
@@ -79,7 +79,7 @@
 
 
 class Group:
-    """Processes of followers, and what they said last."""
+    """Processes of clients, and what they said last."""
 
     def __init__(self, count: int, ways: list[str], spread: float = 1.0, base: int = 0) -> None:
         self.count, self.ways, self.spread, self.base = count, ways, spread, base
@@ -162,7 +162,7 @@
             await client.put(TEXT.format(number=number, hands=1 + number % 4))
             await group.until(now + 2, 60)
             took.append(time.monotonic() - begun)
-        print(f"put to acted on by all, {count} followers, {puts} puts: {shown(took)}")
+        print(f"put to acted on by all, {count} clients, {puts} puts: {shown(took)}")
         # One is stopped: it can't say that it heard.
         async with Group(1, group.ways, base=count) as alone:
             await alone.until(1, 60)
@@ -190,13 +190,13 @@
         took = time.monotonic() - begun
         shares = [(processor(pid) - at) / took for pid, at in zip(found.pids(), before)]
         rate = (sum(row["asks"] for row in group.last.values()) - asks) / took
-        print(f"{count} followers on 3 coordinators, lease 10 s: {rate:.0f} asks a second; cores "
+        print(f"{count} clients on 3 coordinators, lease 10 s: {rate:.0f} asks a second; cores "
               + ", ".join(f"{each:.3f}" for each in shares)
               + "; MB " + ", ".join(f"{resident(pid):.0f}" for pid in found.pids()))  # fmt: skip
 
 
 async def back(count: int, members: int) -> None:
-    """All coordinators end, and start again: until all followers act on what is in force."""
+    """All coordinators end, and start again: until all clients act on what is in force."""
     async with fleet(count, members, spread=5.0) as (found, client, group):
         await group.until(2, 120)
         for child in found.children.values():
@@ -207,7 +207,7 @@
         await asyncio.gather(*(restart(child) for child in found.children.values()))
         up = time.monotonic() - begun
         took = await group.until(2, 120)
-        print(f"{count} followers on {members} coordinators that all were away for 12 s: up after {up:.2f} "
+        print(f"{count} clients on {members} coordinators that all were away for 12 s: up after {up:.2f} "
               f"s, all settled {took:.2f} s after that; calls that failed "
               f"{sum(row['failed'] for row in group.last.values())}")  # fmt: skip
 
--- a/foxspread/__main__.py
+++ b/foxspread/__main__.py
@@ -25,9 +25,9 @@
     )
     rules = None
     if added.agreed is not None:
-        from foxspread.fleet_rules.sidecar_rules import Party  # the bare sidecar does not load it
+        from foxspread.fleet_rules.sidecar_rules import SidecarRules  # the bare sidecar does not load it
 
-        rules = Party(added.agreed, told.name, told.decisions)
+        rules = SidecarRules(added.agreed, told.name, told.decisions)
     sidecar = Sidecar(loop, told, learnt=added.learnt, rules=rules)
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar)
     gc.collect()
--- a/foxspread/cli/coordinator.py
+++ b/foxspread/cli/coordinator.py
@@ -94,9 +94,9 @@
     import uvloop
     from loguru import logger
 
-    from foxspread.fleet_rules import coordinator_process as agreed
     from foxspread.consensus import file as files
     from foxspread.consensus.disk import DiskError
+    from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess, check_version, with_terms
     from foxspread.net import log
 
     async def main() -> None:
@@ -106,10 +106,10 @@
         loop.set_exception_handler(
             lambda loop, found: logger.opt(exception=found.get("exception")).error("{}", found.get("message"))
         )
-        await (process or agreed.StewardProcess)(loop, told, agreed.check).run(stop)
+        await (process or LeaseManagerProcess)(loop, told, check_version).run(stop)
 
     try:
-        told = agreed.with_terms(files.read(file), file)
+        told = with_terms(files.read(file), file)
     except ConfigError as error:
         click.echo(f"foxspread: {error}", err=True)
         return 2
--- a/foxspread/cli/rules.py
+++ b/foxspread/cli/rules.py
@@ -12,12 +12,12 @@
 
 import click
 
-from foxspread.fleet_rules import coordinator_process as content
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.rollout import Terms
 from foxspread.cli.coordinator import AT, JSON, WITHIN, asked, printed
 from foxspread.config import Address, ConfigError
 from foxspread.consensus.client import Client, Reply, Unreached, call
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.coordinator_process import check_version
+from foxspread.fleet_rules.rollout import LeaseTerms
 from foxspread.net.http import BadMessage
 
 FILE = click.Path(exists=True, dir_okay=False)
@@ -37,7 +37,7 @@
 def checked(file: str) -> str:
     text = pathlib.Path(file).read_bytes()
     try:
-        content.check(text)
+        check_version(text)
     except ConfigError as error:
         raise click.UsageError(f"{file}: {error}") from None
     return text.decode()
@@ -286,15 +286,15 @@
     terms = course(at, within)["terms"]
     if terms is None:
         raise click.ClickException("no terms are agreed yet")
-    longest = Terms(**terms).bound()
+    longest = LeaseTerms(**terms).contradiction_bound()
     rows = {
-        path: longest if key.kind is compatibility.Kind.SWITCH else 0.0
-        for path, key in compatibility.KEYS.items()
+        path: longest if rule.merge is compatibility.Merge.SWITCH else 0.0
+        for path, rule in compatibility.KEY_RULES.items()
     }
     if as_json:
         return click.echo(json.dumps(rows))
     for path, seconds in rows.items():
-        click.echo(f"{path}  {seconds:g} s  {compatibility.KEYS[path].kind.value}")
+        click.echo(f"{path}  {seconds:g} s  {compatibility.KEY_RULES[path].merge.value}")
 
 
 @rules.command()
--- a/foxspread/fleet_rules/__init__.py
+++ b/foxspread/fleet_rules/__init__.py
@@ -1,1 +1,1 @@
-"""What sidecars act on together: the content of a version (rules), checked in one place."""
+"""Rules that all sidecars act on together: versions, rolled out in two phases under leases."""
--- a/foxspread/fleet_rules/coordinator_process.py
+++ b/foxspread/fleet_rules/coordinator_process.py
@@ -1,67 +1,89 @@
-"""A coordinator's process that gives leases too: `consensus.process` with a `Steward` in it and the calls of
-sidecars.
+"""A coordinator's process that grants leases on fleet rules: the HTTP calls of sidecars and of operators.
 
-POST /lease   an `Ask` without its moment; answered by a `Grant` on what was committed after it came
+POST /lease   a `LeaseRequest`; answered by a `LeaseGrant` on what was committed after it came
 GET  /phase   ?known=N&wait=S: the phase once it is later than N, or after S seconds
-GET  /course  what is in force, announced, withdrawn; of the one that leads, who acts on what
+GET  /course  the rollout: what is in force, announced, withdrawn; of the leader, who acts on what
+
+The form of these bodies is `fleet_rules.codec`'s, the rest `consensus.process`'s.
 """
 
 import tomllib
-from dataclasses import asdict, replace
+from dataclasses import replace
 from typing import Any
 
 import msgspec
 
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.version_content import content
-from foxspread.fleet_rules.rollout import Terms
-from foxspread.fleet_rules.safety_check import drastic
-from foxspread.fleet_rules.lease_holder import Ask, Grant
-from foxspread.fleet_rules.lease_manager import Steward
 from foxspread.config import ConfigError, Section
 from foxspread.consensus.coordinator import Status
 from foxspread.consensus.file import Told
 from foxspread.consensus.process import ID, Process, told, waits
+from foxspread.fleet_rules import codec, compatibility
+from foxspread.fleet_rules.codec import LeaseGrant, LeaseRequest
+from foxspread.fleet_rules.compatibility import UnsupportedRuleError
+from foxspread.fleet_rules.lease_manager import MAX_REASON, LeaderState, LeaseManager
+from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
+from foxspread.fleet_rules.safety_check import unsafe_change
+from foxspread.fleet_rules.version_content import parse_version
 from foxspread.net import http
 
+MAX_DRIFT = 0.5  # clocks that run further apart than that are broken
+
 
-def check(text: bytes) -> None:
+def check_version(text: bytes) -> None:
     """What a version must be before it is proposed. Raises `ConfigError` with key and value."""
     try:
-        found = content(text)
-    except compatibility.NoRule as error:
+        content = parse_version(text)
+    except UnsupportedRuleError as error:
         raise ConfigError(str(error)) from None
-    for fault in compatibility.faults(found.alone, found.rules):
-        raise ConfigError(fault)
+    for violation in compatibility.alone_violations(content.alone, content.rules):
+        raise ConfigError(violation)
 
 
 def with_terms(file: Told, path: str) -> Told:
-    """The `leases` section of a coordinator's file: what it proposes where the fleet has agreed on none
-    yet."""
+    """A coordinator's file with its `leases` section: the terms that it proposes where the fleet has agreed
+    on none yet. Raises `ConfigError` with key and value."""
     with open(path, "rb") as opened:
         section = Section(tomllib.load(opened)).section("leases")
-    for key in section.values.keys() - {"lease", "alone", "drift", "refusals"}:
+    for key in section.values.keys() - {codec.LEASE, codec.ALONE, codec.DRIFT, codec.MAX_REFUSALS}:
         raise ConfigError(f"'{section.name(key)}' is not known")
-    terms = Terms(
-        section.number("lease", 10.0, 0.1),
-        section.number("alone", 300.0),
-        section.number("drift", 0.02),
-        section.whole("refusals", 0),
+    terms = LeaseTerms(
+        section.number(codec.LEASE, 10.0, 0.1),
+        section.number(codec.ALONE, 300.0),
+        section.number(codec.DRIFT, 0.02),
+        section.whole(codec.MAX_REFUSALS, 0),
     )
-    if terms.drift > 0.5:
-        raise ConfigError(f"'leases.drift' must be at most 0.5, not {terms.drift:g}")
+    if terms.drift > MAX_DRIFT:
+        raise ConfigError(f"'leases.drift' must be at most {MAX_DRIFT}, not {terms.drift:g}")
     return replace(file, more={"terms": terms})
 
 
-class StewardProcess(Process):
-    host_kind = Steward
+def lease_request(fields: dict[str, Any]) -> LeaseRequest:
+    """The body of POST /lease. Raises `ValueError` with the field that is wrong."""
+    holder, phase = fields.get(codec.HOLDER), fields.get(codec.PHASE)
+    refused_phase, reason = fields.get(codec.REFUSED_PHASE), fields.get(codec.REFUSAL_REASON)
+    if not isinstance(holder, str) or ID.fullmatch(holder.replace("/", ":")) is None:
+        raise ValueError(f"'{codec.HOLDER}' must be an id")
+    for number in (phase, refused_phase):
+        if not isinstance(number, int) or isinstance(number, bool):
+            raise ValueError(f"'{codec.PHASE}' and '{codec.REFUSED_PHASE}' must be whole numbers")
+    if not isinstance(reason, str) or len(reason) > MAX_REASON:
+        raise ValueError(f"'{codec.REFUSAL_REASON}' must be a text of at most {MAX_REASON} characters")
+    return LeaseRequest(holder, 0.0, phase, refused_phase, reason)
+
+
+class LeaseManagerProcess(Process):
+    """`consensus.process.Process` with a `LeaseManager` in it."""
+
+    host_kind = LeaseManager
 
     def look(self, contents: bytes, wish: dict[str, Any]) -> None:
-        """Asks about what a person may not have meant; two puts that cross each other may both pass."""
-        latest = self.host.course.get()
-        if latest is not None and wish.get("even_so") is not True:
-            if found := drastic(content(latest.content).rules, content(contents).rules):
-                raise ConfigError(f"{found}: put it with --even-so where that is meant")
+        """Refuses what a person may not have meant, unless the put says `even_so`. Two puts that cross each
+        other may both pass. Raises `ConfigError`."""
+        latest = self.host.rollout.get()
+        if latest is None or wish.get("even_so") is True:
+            return
+        if fault := unsafe_change(parse_version(latest.content).rules, parse_version(contents).rules):
+            raise ConfigError(f"{fault}: put it with --even-so where that is meant")
 
     async def _call(self, message: http.Message, path: str) -> tuple[int, bytes]:
         call = (message.method, path)
@@ -71,50 +93,48 @@
             answer = await self._ask(self.host.watch_phase, *waits(message))
             return told(200, status="done", phase=answer.value)
         if call == (b"GET", "/course"):
-            return told(200, **self.course())
+            return told(200, **self.rollout_status())
         return await super()._call(message, path)
 
-    async def _lease(self, wish: dict[str, Any]) -> tuple[int, bytes]:
-        holder, phase, refused, why = (wish.get(each) for each in ("holder", "phase", "refused", "why"))
-        if not isinstance(holder, str) or ID.fullmatch(holder.replace("/", ":")) is None:
-            raise ValueError("'holder' must be an id")
-        if not all(isinstance(each, int) and not isinstance(each, bool) for each in (phase, refused)):
-            raise ValueError("'phase' and 'refused' must be whole numbers")
-        if not isinstance(why, str) or len(why) > 300:
-            raise ValueError("'why' must be a text of at most 300 characters")
-        answer = await self._ask(self.host.ask, Ask(holder, 0.0, phase, refused, why))
-        if answer.status is Status.DONE and isinstance(answer.value, Grant):
-            return told(200, status="done", grant=asdict(answer.value))
+    async def _lease(self, fields: dict[str, Any]) -> tuple[int, bytes]:
+        answer = await self._ask(self.host.request_lease, lease_request(fields))
+        if answer.status is Status.DONE and isinstance(answer.value, LeaseGrant):
+            return told(200, status="done", **{codec.GRANT: codec.encode_grant(answer.value)})
         return self._answered(answer)
 
-    def course(self) -> dict[str, Any]:
-        host, now = self.host, self.clock()
-        course, terms = host.course, host.course.terms
-        holders = {}
-        if host.lead is not None:
-            holders = {
-                each: {
-                    "phase": row.phase,
-                    "refused": row.refused,
-                    "why": row.why,
-                    "heard": round(now - host.lead.heard.get(each, now), 3),
-                }
-                for each, row in host.lead.told.items()
-                if each in course.holders
-            }
+    def rollout_status(self) -> dict[str, Any]:
+        """The answer to GET /course."""
+        rollout: Rollout = self.host.rollout
+        lead: LeaderState | None = self.host.lead
+        holders = self._holder_statuses(rollout, lead) if lead is not None else {}
         return {
             "coordinator": self.told.name,
-            "leads": host.lead is not None,
-            "phase": course.phase,
-            "settled": course.settled,
-            "next": course.next,
-            "latest": course.latest,
-            "withdrawn": {str(each): why for each, why in course.withdrawn.items()},
-            "alones": course.alones,
-            "terms": msgspec.structs.asdict(terms) if terms else None,
+            "leads": lead is not None,
+            codec.PHASE: rollout.phase,
+            codec.IN_FORCE: rollout.in_force,
+            codec.ANNOUNCED: rollout.announced,
+            "latest": rollout.latest,
+            "withdrawn": {str(number): reason for number, reason in rollout.withdrawn.items()},
+            "alones": rollout.alone_versions,
+            "terms": msgspec.structs.asdict(rollout.terms) if rollout.terms else None,
             "holders": holders,
-            "silent": sorted(course.holders - holders.keys()) if host.lead is not None else [],
+            "silent": sorted(rollout.holders - holders.keys()) if lead is not None else [],
+        }
+
+    def _holder_statuses(self, rollout: Rollout, lead: LeaderState) -> dict[str, dict[str, Any]]:
+        now = self.clock()
+        return {
+            holder: {
+                codec.PHASE: status.phase,
+                codec.REFUSED_PHASE: status.refused_phase,
+                codec.REFUSAL_REASON: status.refusal_reason,
+                "heard": round(now - lead.last_heard.get(holder, now), 3),
+            }
+            for holder, status in lead.statuses.items()
+            if holder in rollout.holders
         }
 
     def status(self) -> dict[str, Any]:
-        return super().status() | {"phase": self.host.course.phase, "in_force": self.host.course.settled}
+        """The answer to GET /status."""
+        rollout = self.host.rollout
+        return super().status() | {codec.PHASE: rollout.phase, "in_force": rollout.in_force}
--- a/foxspread/fleet_rules/lease_client.py
+++ b/foxspread/fleet_rules/lease_client.py
@@ -1,129 +1,126 @@
-"""The way between a `Holder` and the coordinators: asks, watches, fetches; decides nothing. One for each
-sidecar.
-
-`changed` is told whenever the holder acts on something else than before, `renewed` after each answer; whoever
-acts still asks `holder.may` at the moment of the act.
+"""The network side of a `LeaseHolder`: sends its requests to the coordinators, watches for a later phase and
+fetches versions. It decides nothing. One for each sidecar.
 """
 
 import asyncio
 import contextlib
-import json
 from collections.abc import Callable, Sequence
 
-from foxspread.fleet_rules.lease_holder import Acting, Ask, Grant, Holder
 from foxspread.config import Address
 from foxspread.consensus.client import call
+from foxspread.fleet_rules import codec
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, LeaseRequest
 from foxspread.net.http import BadMessage
 
-ERRORS = (OSError, TimeoutError, BadMessage, KeyError, TypeError, ValueError)
-WITHIN = 2.5  # seconds for one call
-WATCH = 10  # seconds that a watch waits
+CALL_ERRORS = (OSError, TimeoutError, BadMessage, KeyError, TypeError, ValueError)
+CALL_SECONDS = 2.5  # for one call: longer than a coordinator waits for its majority (2 s)
+WATCH_SECONDS = 10  # that a coordinator holds a watch back
+REFETCH_SECONDS = 0.05  # after a version could not be fetched, in the mean
+WATCH_RETRY_SECONDS, MAX_WATCH_RETRY_SECONDS = 0.05, 2.0  # after a watch failed: doubled each time
+EXPIRY_CHECK_SECONDS, MIN_EXPIRY_CHECK_SECONDS = 0.5, 0.005  # between two looks at an expiry
+
 
+class LeaseClient:
+    """`on_change` is called whenever the holder acts on something else than before, `on_renewal` after each
+    grant; whoever acts still asks `holder.may_act` at the moment of the act. Starts at once, in the running
+    event loop; end it with `close`."""
 
-class Follower:
     def __init__(
         self,
-        holder: Holder,
+        holder: LeaseHolder,
         clock: Callable[[], float],
         coordinators: Sequence[Address],
         chance: Callable[[], float],
-        changed: Callable[[Acting], None] = lambda acting: None,
-        renewed: Callable[[], None] = lambda: None,
+        on_change: Callable[[EffectiveRules], None] = lambda effective: None,
+        on_renewal: Callable[[], None] = lambda: None,
     ) -> None:
         self.holder, self.clock, self.coordinators, self.chance = holder, clock, list(coordinators), chance
-        self.changed, self.renewed, self.last = changed, renewed, (None, 0)
-        self.due = asyncio.Event()
-        self.target = int(chance() * len(self.coordinators))
-        self.calls, self.failed = 0, 0
+        self.on_change, self.on_renewal, self.last_reported = on_change, on_renewal, (None, 0)
+        self.wake_up = asyncio.Event()
+        self.coordinator_index = int(chance() * len(self.coordinators))
+        self.calls, self.failed_calls = 0, 0
         self.tasks = [
-            asyncio.create_task(self._ask()),
+            asyncio.create_task(self._renew()),
             asyncio.create_task(self._watch()),
-            asyncio.create_task(self._turn()),
+            asyncio.create_task(self._report_expiry()),
         ]
 
-    def _at(self) -> Address:
-        return self.coordinators[self.target % len(self.coordinators)]
+    def _coordinator(self) -> Address:
+        return self.coordinators[self.coordinator_index % len(self.coordinators)]
 
-    def _other(self) -> None:
-        self.failed += 1
-        self.target += 1 + int(self.chance() * max(1, len(self.coordinators) - 1))
+    def _switch_coordinator(self) -> None:
+        self.failed_calls += 1
+        self.coordinator_index += 1 + int(self.chance() * max(1, len(self.coordinators) - 1))
 
-    def _noted(self) -> None:
-        acting = self.holder.acting(self.clock())
-        if (acting.mode, acting.phase) != self.last:
-            self.last = (acting.mode, acting.phase)
-            self.changed(acting)
-        self.due.set()
+    def _report_change(self) -> None:
+        effective = self.holder.effective(self.clock())
+        if (effective.mode, effective.phase) != self.last_reported:
+            self.last_reported = (effective.mode, effective.phase)
+            self.on_change(effective)
+        self.wake_up.set()
 
-    async def _ask(self) -> None:
+    async def _renew(self) -> None:
         while True:
-            self.due.clear()
+            self.wake_up.clear()
             wait = self.holder.wake_at() - self.clock()
             if wait > 0:
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait):
-                        await self.due.wait()
-            if (ask := self.holder.ask(self.clock())) is not None:
-                await self._asked(ask)
+                        await self.wake_up.wait()
+            if (request := self.holder.request_due(self.clock())) is not None:
+                await self._send(request)
 
-    async def _asked(self, ask: Ask) -> None:
+    async def _send(self, request: LeaseRequest) -> None:
         self.calls += 1
-        body = json.dumps(
-            {"holder": ask.holder, "phase": ask.phase, "refused": ask.refused, "why": ask.why}
-        ).encode()
+        body = codec.encode_request(request)
         try:
-            reply = await call(self._at(), "POST", "/lease", body, WITHIN)
-            told = reply.value["grant"]
-            grant = Grant(
-                int(told["phase"]),
-                int(told["settled"]),
-                int(told["next"]),
-                float(told["lease"]),
-                float(told["alone"]),
-                float(told.get("drift", 0.0)),
-            )
-        except ERRORS:
-            return self._other()
-        self.holder.answered(self.clock(), ask, grant)
-        for number in self.holder.wants():
+            reply = await call(self._coordinator(), "POST", "/lease", body, CALL_SECONDS)
+            grant = codec.decode_grant(reply.value[codec.GRANT])
+        except CALL_ERRORS:
+            return self._switch_coordinator()
+        self.holder.on_grant(self.clock(), request, grant)
+        for number in self.holder.missing_versions():
             await self._fetch(number)
-        self._noted()
-        self.renewed()
+        self._report_change()
+        self.on_renewal()
 
     async def _fetch(self, number: int) -> None:
         try:
-            reply = await call(self._at(), "GET", f"/rules/{number}", within=WITHIN)
+            reply = await call(self._coordinator(), "GET", f"/rules/{number}", within=CALL_SECONDS)
             text = reply.value["version"]["content"].encode()
-        except ERRORS:
-            self._other()
-            return self.holder.soon(self.clock() + 0.05 * (0.5 + self.chance()))
-        self.holder.fetched(self.clock(), number, text)
+        except CALL_ERRORS:
+            self._switch_coordinator()
+            retry_at = self.clock() + REFETCH_SECONDS * (0.5 + self.chance())
+            return self.holder.request_now(retry_at)
+        self.holder.on_content(self.clock(), number, text)
 
     async def _watch(self) -> None:
-        """One call that waits for a later phase; where it fails, the asking goes on without."""
-        pause = 0.05
+        """One call that waits for a later phase; where it fails, renewal goes on without."""
+        backoff = WATCH_RETRY_SECONDS
         while True:
             try:
-                at, known = self._at(), self.holder.phase
-                reply = await call(at, "GET", f"/phase?known={known}&wait={WATCH}", within=WATCH + WITHIN)
+                path = f"/phase?known={self.holder.phase}&wait={WATCH_SECONDS}"
+                reply = await call(self._coordinator(), "GET", path, within=WATCH_SECONDS + CALL_SECONDS)
                 if int(reply.value["phase"]) > self.holder.phase:
-                    self.holder.soon(self.clock())
-                    self.due.set()
-                    await asyncio.sleep(0.01)
-                pause = 0.05
-            except ERRORS:
-                self.failed += 1
-                await asyncio.sleep(pause * (0.5 + self.chance()))
-                pause = min(2 * pause, 2.0)
+                    self.holder.request_now(self.clock())
+                    self.wake_up.set()
+                    await asyncio.sleep(0.01)  # the renewal is under way; not to ask meanwhile
+                backoff = WATCH_RETRY_SECONDS
+            except CALL_ERRORS:
+                self.failed_calls += 1
+                await asyncio.sleep(backoff * (0.5 + self.chance()))
+                backoff = min(2 * backoff, MAX_WATCH_RETRY_SECONDS)
 
-    async def _turn(self) -> None:
-        """Tells of a lease that has run out by itself."""
+    async def _report_expiry(self) -> None:
+        """Reports a lease that expires while no answer comes."""
         while True:
             now = self.clock()
-            await asyncio.sleep(min(0.5, max(0.005, self.holder.changes_at(now) - now)))
-            self._noted()
+            left = self.holder.next_expiry(now) - now
+            await asyncio.sleep(min(EXPIRY_CHECK_SECONDS, max(MIN_EXPIRY_CHECK_SECONDS, left)))
+            self._report_change()
 
     async def close(self) -> None:
+        """Ends all calls."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/foxspread/fleet_rules/lease_manager.py
+++ b/foxspread/fleet_rules/lease_manager.py
@@ -1,12 +1,13 @@
-"""A coordinator that gives leases on the course (`course`), without I/O. Any member gives them; the one that
-leads takes the steps: announce, in force, withdraw.
-
-Why no two contradict each other: a lease is given only on what was committed after it was asked for (a read
-through the leader), so one on the phase before an announcement was asked for before that was committed, and
-ends a lease after that at the latest. The next step is taken when all holders have confirmed the announced
-phase, or when so long has passed since this member saw the announcement committed, drift on both clocks
-allowed for. One that leads anew counts from when it saw that itself. `docs/design/agreed.md` has the whole
-argument.
+"""A coordinator that grants leases on the fleet's rules, and rolls versions out. No I/O.
+
+Any member grants leases; the leader takes the steps of a rollout: announce, put in force, withdraw.
+
+Why no two sidecars contradict each other: a lease is granted only on what was committed after its request
+came (a read through the leader), so one on the phase before an announcement was asked for before that was
+committed, and expires a lease after that at the latest. The next step is taken when all holders have
+confirmed the announced phase, or when so long has passed since this member saw the announcement committed,
+drift on both clocks allowed for. A new leader counts from when it saw that itself. `docs/design/agreed.md`
+has the whole argument.
 """
 
 from dataclasses import dataclass, field
@@ -14,280 +15,328 @@
 
 import msgspec
 
-from foxspread.fleet_rules.rollout import Announce, Close, Course, Drop, Force, Open, Terms, Withdraw
-from foxspread.fleet_rules.lease_holder import Ask, Grant
 from foxspread.consensus.coordinator import Answer, Coordinator, Out, Status
 from foxspread.consensus.core import Refused, Role
 from foxspread.consensus.messages import Row, Snapshot, encoded
-
-GATHER = 0.02  # seconds for which asks gather, for one read and one report together
-ASKS_MOST = 8192  # asks that wait; more are turned away at once
-BATCH = 256  # holders in one record, or one report
-AGAIN = 0.5  # a step that was proposed and not seen by then is proposed again
-STRAY_MOST = 4096  # holders of which something was heard, beyond those that are open
-
-
-class Heard(Row):
-    """What a holder last said: the phase that it acts on, one that it refuses and why."""
+from foxspread.fleet_rules.codec import LeaseGrant, LeaseRequest
+from foxspread.fleet_rules.pending_requests import (
+    GATHER_SECONDS,
+    MAX_REQUESTS,
+    PendingRequests,
+    Proposals,
+    batches,
+)
+from foxspread.fleet_rules.rollout import (
+    AdmitHolders,
+    Announce,
+    DropAlonePart,
+    LeaseTerms,
+    PutInForce,
+    RemoveHolders,
+    Rollout,
+    Withdraw,
+)
+
+BATCH = 256  # holders in one record, or one report: keeps it well below 40 KiB
+MAX_UNADMITTED = 4096  # holders of which something was heard, beyond those that are admitted
+SILENT_LEASES = 2  # leases without a request after which a holder is removed
+SILENCE_CHECKS_PER_LEASE = 10  # not at each input: a check costs by the number of holders
+MAX_REASON = 300  # characters of why a version is withdrawn
+ROLLOUT_STEP = "step"  # announce, put in force and withdraw exclude each other
+ADMISSION_STEP = "open"
+
+
+class HolderStatus(Row):
+    """What a holder said last: the phase that it acts on, one that it refuses (0: none) and why."""
 
     phase: int
-    refused: int = 0
-    why: str = ""
+    refused_phase: int = 0
+    refusal_reason: str = ""
 
 
-class Report(Row, frozen=True, tag="report"):
-    """From a member to the one that leads."""
+class HolderReport(Row, frozen=True, tag="report"):
+    """From a member to the leader: what holders said to it."""
 
-    heard: dict[str, Heard]
+    statuses: dict[str, HolderStatus]
 
 
 @dataclass
-class Waiting:
-    ask: Ask
-    until: float
-
-
-@dataclass
-class Lead:
-    """What one that leads keeps, from its election on."""
+class LeaderState:
+    """What a leader knows of holders, from its election on."""
 
     term: int
     since: float
-    heard: dict[str, float] = field(default_factory=dict)  # when each holder was last heard of
-    told: dict[str, Heard] = field(default_factory=dict)
-    strangers: dict[str, None] = field(default_factory=dict)  # heard, and to be opened
-    refusing: dict[str, Heard] = field(default_factory=dict)  # those that turned a phase down
-    close_at: float = 0.0  # when it looks again who is silent: not each time, that would cost by holders
-    looked: int = 0  # the phase whose version was looked at, and what does not fit
-    unfit: str = ""
-    proposed: dict[str, float] = field(default_factory=dict)  # steps under way, until when they may be
+    last_heard: dict[str, float] = field(default_factory=dict)
+    statuses: dict[str, HolderStatus] = field(default_factory=dict)
+    unadmitted: dict[str, None] = field(default_factory=dict)  # heard, and to be admitted, in order
+    refusing: dict[str, HolderStatus] = field(default_factory=dict)  # those that refused a phase
+    next_silence_check: float = 0.0
+    checked_phase: int = 0  # whose version was checked, and what is wrong with it
+    incompatibility: str = ""
+    proposals: Proposals = field(default_factory=Proposals)
 
 
-class Steward(Coordinator):
-    versions_kind = Course
+class LeaseManager(Coordinator):
+    """`terms`: what it proposes where the fleet has agreed on none yet."""
 
-    def __init__(self, now: float, *told: Any, terms: Terms = Terms(), **more: Any) -> None:
-        self.wish = terms  # what it proposes where none are agreed yet
+    versions_kind = Rollout
+
+    def __init__(self, now: float, *arguments: Any, terms: LeaseTerms = LeaseTerms(), **options: Any) -> None:
+        self.proposed_terms = terms
         # What follows is set before the log is read: entries are applied later, by `take`.
-        self.asks: dict[int, Waiting] = {}
-        self.reading: dict[int, list[int]] = {}  # reads under way, and the asks that wait for each
-        self.watchers: dict[int, tuple[int, float]] = {}
-        self.news: dict[str, Heard] = {}  # to be told to the one that leads
+        self.requests = PendingRequests()
+        self.phase_watches: dict[int, tuple[int, float]] = {}  # by token: the known phase, until when
+        self.unreported: dict[str, HolderStatus] = {}  # to be reported to the leader
         self.flush_at = float("inf")
-        self.own_tokens = 0
-        self.lead: Lead | None = None
-        self.phase_at = self.closed_at = self.forced_at = (
-            now  # when this member saw the last of each committed
-        )
-        self.replaced_at: dict[int, float] = {}  # versions whose alone part may still be acted on, since when
-        super().__init__(now, *told, **more)
+        self.last_read_token = 0
+        self.lead: LeaderState | None = None
+        # When this member saw the latest step of a rollout, and the latest removal of holders, committed.
+        self.phase_seen_at = self.removal_seen_at = now
+        self.alone_replaced_at: dict[int, float] = {}  # versions whose alone part may still be acted on
+        super().__init__(now, *arguments, **options)
 
     @property
-    def course(self) -> Course:
+    def rollout(self) -> Rollout:
+        """The replicated state, as this member has it."""
         return self.versions
 
     @property
-    def terms(self) -> Terms:
-        return self.course.terms or self.wish
+    def terms(self) -> LeaseTerms:
+        """Those that the fleet has agreed on, else those that this member proposes."""
+        return self.rollout.terms or self.proposed_terms
+
+    @property
+    def lease_expired_after(self) -> float:
+        """Seconds after which a lease has expired on any holder's clock."""
+        return self.terms.expired_after(self.terms.lease)
 
     # What sidecars ask
 
-    def ask(self, now: float, token: int, ask: Ask) -> None:
-        """A lease; answered by a `Grant` on what is committed after this."""
-        if len(self.asks) >= ASKS_MOST:
-            return self.answers.append(Answer(token, Status.REFUSED, f"{ASKS_MOST} asks wait already"))
-        self.asks[token] = Waiting(ask, now + self.patience)
-        heard = Heard(ask.phase, ask.refused, ask.why)
-        if len(self.news) < STRAY_MOST:
-            self.news[ask.holder] = heard
-        self.flush_at = min(self.flush_at, now + GATHER)
+    def request_lease(self, now: float, token: int, request: LeaseRequest) -> None:
+        """Answered by a `LeaseGrant` on what is committed after this."""
+        if not self._enqueue(now, self.requests, token, request):
+            return
+        status = HolderStatus(request.phase, request.refused_phase, request.refusal_reason)
+        if len(self.unreported) < MAX_UNADMITTED:
+            self.unreported[request.holder_id] = status
+
+    def _enqueue(self, now: float, requests: PendingRequests, token: int, request: Any) -> bool:
+        """Whether there is room for it: then it waits for the next read."""
+        if len(requests) >= MAX_REQUESTS:
+            self.answers.append(Answer(token, Status.REFUSED, f"{MAX_REQUESTS} asks wait already"))
+            return False
+        requests.add(token, request, now + self.patience)
+        self._flush_soon(now)
+        return True
+
+    def _flush_soon(self, now: float) -> None:
+        self.flush_at = min(self.flush_at, now + GATHER_SECONDS)
 
     def watch_phase(self, now: float, token: int, phase: int, wait: float) -> None:
         """Answered with the phase once it is a later one than this, or after `wait` seconds."""
-        if self.course.phase > phase or len(self.watchers) >= ASKS_MOST:
-            return self.answers.append(Answer(token, Status.DONE, self.course.phase, self.member.leader))
-        self.watchers[token] = (phase, now + wait)
+        if self.rollout.phase > phase or len(self.phase_watches) >= MAX_REQUESTS:
+            return self._answer_phase(token)
+        self.phase_watches[token] = (phase, now + wait)
+
+    def _answer_phase(self, token: int) -> None:
+        self.answers.append(Answer(token, Status.DONE, self.rollout.phase, self.member.leader))
 
     def left(self, token: int) -> None:
+        """Nobody waits for this call's answer any more."""
         super().left(token)
-        self.asks.pop(token, None)
-        self.watchers.pop(token, None)
+        self.requests.remove(token)
+        self.phase_watches.pop(token, None)
 
     def _flush(self, now: float) -> None:
-        """One read for all asks that wait and are in no read yet; one report of what they said."""
+        """One read for all requests that wait for none yet; one report of what they said."""
         self.flush_at = float("inf")
-        under_way = {each for tokens in self.reading.values() for each in tokens}
-        tokens = [each for each in self.asks if each not in under_way]
-        if tokens:
-            self.own_tokens -= 1  # below zero: never a call's
-            try:
-                self.member.read(now, self.own_tokens)
-                self.reading[self.own_tokens] = tokens
-            except Refused:
-                for token in tokens:
-                    self._no(token, "nobody leads")
+        self._start_read(now, self.requests)
         self._report(now)
 
+    def _start_read(self, now: float, requests: PendingRequests) -> None:
+        tokens = requests.without_read()
+        if not tokens:
+            return
+        self.last_read_token -= 1  # below zero: never a call's
+        try:
+            self.member.read(now, self.last_read_token)
+            requests.reads[self.last_read_token] = tokens
+        except Refused:
+            for token in tokens:
+                self._reject(requests, token, "nobody leads")
+
     def _report(self, now: float) -> None:
-        news, self.news = self.news, {}
+        statuses, self.unreported = self.unreported, {}
         if self.lead is not None:
-            self._hear(now, news)
-        elif news and self.member.leader:
-            rows = list(news.items())
-            for at in range(0, len(rows), BATCH):
-                self.member.note(now, self.member.leader, encoded(Report(dict(rows[at : at + BATCH]))))
+            self._on_statuses(now, statuses)
+        elif statuses and self.member.leader:
+            for rows in batches(list(statuses.items()), BATCH):
+                self.member.note(now, self.member.leader, encoded(HolderReport(dict(rows))))
 
     def _noted(self, now: float, sender: str, body: bytes) -> None:
         try:
-            report = msgspec.msgpack.decode(body, type=Report)
+            report = msgspec.msgpack.decode(body, type=HolderReport)
         except msgspec.DecodeError:
             return
         if self.lead is not None:
-            self._hear(now, report.heard)
+            self._on_statuses(now, report.statuses)
 
-    def _hear(self, now: float, heard: dict[str, Heard]) -> None:
+    def _on_statuses(self, now: float, statuses: dict[str, HolderStatus]) -> None:
         lead = self.lead
-        for holder, row in heard.items():
-            known = lead.told.get(holder)
-            if known is None and len(lead.told) >= len(self.course.holders) + STRAY_MOST:
+        for holder, status in statuses.items():
+            known = lead.statuses.get(holder)
+            if known is None and len(lead.statuses) >= len(self.rollout.holders) + MAX_UNADMITTED:
                 continue
-            if known is None or row.phase >= known.phase:  # an older one came late
-                lead.told[holder] = row
-                if row.refused:
-                    lead.refusing[holder] = row
+            if known is None or status.phase >= known.phase:  # else an older one came late
+                lead.statuses[holder] = status
+                if status.refused_phase:
+                    lead.refusing[holder] = status
                 else:
                     lead.refusing.pop(holder, None)
-            lead.heard[holder] = now
-            if holder not in self.course.holders:
-                lead.strangers[holder] = None
-
-    def _no(self, token: int, why: str) -> None:
-        if self.asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.ELSEWHERE, why, self.member.leader))
-
-    def _granted(self, now: float, token: int) -> None:
-        waiting = self.asks.get(token)
-        if waiting is None:
-            return
-        if (
-            waiting.ask.holder not in self.course.holders or self.course.terms is None
-        ):  # it is being opened: with the next read
-            self.flush_at = min(self.flush_at, now + GATHER)
+            lead.last_heard[holder] = now
+            if holder not in self.rollout.holders:
+                lead.unadmitted[holder] = None
+
+    def _reject(self, requests: PendingRequests, token: int, reason: str) -> None:
+        if requests.remove(token) is not None:
+            self.answers.append(Answer(token, Status.ELSEWHERE, reason, self.member.leader))
+
+    def _grant_lease(self, now: float, token: int) -> None:
+        """What was committed after the request is known. One that is still to be admitted waits on."""
+        pending = self.requests.get(token)
+        if pending is None:
             return
-        del self.asks[token]
-        self.answers.append(Answer(token, Status.DONE, self.grant(), self.member.leader))
-
-    def grant(self) -> Grant:
-        course, terms = self.course, self.terms
-        return Grant(course.phase, course.settled, course.next, terms.lease, terms.alone, terms.drift)
+        if pending.request.holder_id not in self.rollout.holders or self.rollout.terms is None:
+            return self._flush_soon(now)
+        self.requests.remove(token)
+        self.answers.append(Answer(token, Status.DONE, self.current_grant(), self.member.leader))
+
+    def current_grant(self) -> LeaseGrant:
+        """By what this member has applied."""
+        rollout, terms = self.rollout, self.terms
+        return LeaseGrant(
+            rollout.phase, rollout.in_force, rollout.announced, terms.lease, terms.alone, terms.drift
+        )
 
-    # Steps of the one that leads
+    # Steps of the leader
 
-    def _lead(self, now: float) -> None:
+    def _take_steps(self, now: float) -> None:
         member = self.member
         if member.role is not Role.LEADER:
             self.lead = None
             return
         if self.lead is None or self.lead.term != member.term:
-            self.lead = Lead(member.term, now)
+            self.lead = LeaderState(member.term, now)
         if member.applied < member.own_term_at:
             return  # it doesn't know yet what is committed
-        lead, course, terms = self.lead, self.course, self.terms
-        if course.terms is None:
-            self._propose(now, "terms", self.wish)
+        if self.rollout.terms is None:
+            return self._propose(now, "terms", self.proposed_terms)
+        self._admit_holders(now, self.lead)
+        if now >= self.lead.next_silence_check:
+            self.lead.next_silence_check = now + self.terms.lease / SILENCE_CHECKS_PER_LEASE
+            self._remove_silent(now, self.lead)
+        for version, since in self.alone_replaced_at.items():
+            if now - since > self.terms.expired_after(self.terms.lease + self.terms.alone):
+                self._propose(now, f"drop {version}", DropAlonePart(version))
+        if self.rollout.announced:
+            self._finish_rollout(now, self.lead)
+        elif number := self.rollout.next_to_announce():
+            self._propose(now, ROLLOUT_STEP, Announce(number))
+
+    def _admit_holders(self, now: float, lead: LeaderState) -> None:
+        if not lead.unadmitted:
             return
-        if lead.strangers:
-            lead.strangers = {each: None for each in lead.strangers if each not in course.holders}
-            if lead.strangers:
-                self._propose(now, "open", Open([*lead.strangers][:BATCH]))
-        if now >= lead.close_at:
-            lead.close_at = now + terms.lease / 10
-            self._close(now, lead)
-        for version, since in self.replaced_at.items():
-            if now - since > terms.runs_out(terms.lease + terms.alone):
-                self._propose(now, f"drop {version}", Drop(version))
-        if not course.next:
-            if due := course.due():
-                self._propose(now, "step", Announce(due))
-            return
-        refusing = [(each, row.why) for each, row in lead.refusing.items() if row.refused == course.phase]
-        if lead.looked != course.phase:
-            lead.looked, lead.unfit = course.phase, course.unfit(course.next)
-        if unfit := lead.unfit:
-            self._propose(now, "step", Withdraw(course.phase, "the coordinators", unfit[:300]))
-        elif len(refusing) > max(terms.refusals, course.by_number[course.next].refusals):
-            self._propose(now, "step", Withdraw(course.phase, refusing[0][0], refusing[0][1][:300]))
-        elif self._all_confirmed(now, lead) or now - self.phase_at > terms.runs_out(terms.lease):
-            self._propose(now, "step", Force(course.phase))
-
-    def _all_confirmed(self, now: float, lead: Lead) -> bool:
-        """All that may hold a lease act on the announced phase. Those that were closed a lease ago or less
+        lead.unadmitted = {each: None for each in lead.unadmitted if each not in self.rollout.holders}
+        if lead.unadmitted:
+            self._propose(now, ADMISSION_STEP, AdmitHolders([*lead.unadmitted][:BATCH]))
+
+    def _finish_rollout(self, now: float, lead: LeaderState) -> None:
+        """Withdraws the announced version, or puts it in force, where it is time for either."""
+        rollout = self.rollout
+        if lead.checked_phase != rollout.phase:
+            lead.checked_phase = rollout.phase
+            lead.incompatibility = rollout.incompatibility(rollout.announced)
+        refusing = [
+            (holder, status.refusal_reason)
+            for holder, status in lead.refusing.items()
+            if status.refused_phase == rollout.phase
+        ]
+        allowed = max(self.terms.refusals, rollout.by_number[rollout.announced].refusals)
+        if reason := lead.incompatibility:
+            self._propose(now, ROLLOUT_STEP, Withdraw(rollout.phase, "the coordinators", reason[:MAX_REASON]))
+        elif len(refusing) > allowed:
+            holder, reason = refusing[0]
+            self._propose(now, ROLLOUT_STEP, Withdraw(rollout.phase, holder, reason[:MAX_REASON]))
+        elif self._all_confirmed(now, lead) or now - self.phase_seen_at > self.lease_expired_after:
+            self._propose(now, ROLLOUT_STEP, PutInForce(rollout.phase))
+
+    def _all_confirmed(self, now: float, lead: LeaderState) -> bool:
+        """All that may hold a lease act on the announced phase. Those that were removed a lease ago or less
         may still hold an older one, and nobody hears of them."""
-        course = self.course
-        return now - self.closed_at > self.terms.runs_out(self.terms.lease) and all(
-            each in lead.told and lead.told[each].phase >= course.phase for each in course.holders
+        rollout = self.rollout
+        return now - self.removal_seen_at > self.lease_expired_after and all(
+            holder in lead.statuses and lead.statuses[holder].phase >= rollout.phase
+            for holder in rollout.holders
         )
 
-    def _close(self, now: float, lead: Lead) -> None:
-        """Those of which nothing was heard for two leases. They are asked for no confirmation any more."""
-        silent = 2 * self.terms.runs_out(self.terms.lease)
-        gone = [each for each in self.course.holders if now - lead.heard.get(each, lead.since) > silent][
-            :BATCH
+    def _remove_silent(self, now: float, lead: LeaderState) -> None:
+        """Removes holders of which nothing was heard for two leases: they are asked for no confirmation any
+        more."""
+        silence = SILENT_LEASES * self.lease_expired_after
+        silent = [
+            holder
+            for holder in self.rollout.holders
+            if now - lead.last_heard.get(holder, lead.since) > silence
         ]
-        if gone:
-            self._propose(now, "close", Close(gone))
-        for each in [each for each, at in lead.heard.items() if now - at > silent]:
-            del lead.heard[each], lead.told[each]
-            lead.strangers.pop(each, None)
-            lead.refusing.pop(each, None)
-
-    def _propose(self, now: float, what: str, command: Any) -> None:
-        if self.lead.proposed.get(what, 0.0) > now:
-            return
-        try:
-            self.member.propose(now, encoded(command))
-            self.lead.proposed[what] = now + AGAIN
-        except Refused:
-            pass
+        if silent:
+            self._propose(now, "close", RemoveHolders(silent[:BATCH]))
+        for holder in [each for each, heard_at in lead.last_heard.items() if now - heard_at > silence]:
+            del lead.last_heard[holder], lead.statuses[holder]
+            lead.unadmitted.pop(holder, None)
+            lead.refusing.pop(holder, None)
+
+    def _propose(self, now: float, step: str, command: Any) -> None:
+        self.lead.proposals.propose(now, self.member, step, command)
 
     # What happens
 
     def tick(self, now: float) -> None:
+        """Time has passed: calls whose deadline has come are answered."""
         super().tick(now)
-        for token in [token for token, waiting in self.asks.items() if waiting.until <= now]:
-            self._no(token, "no majority answered in time")
-        self._watched_phase(now)
+        self._reject_overdue(now, self.requests)
+        self._answer_watches(now)
+
+    def _reject_overdue(self, now: float, requests: PendingRequests) -> None:
+        for token in requests.overdue(now):
+            self._reject(requests, token, "no majority answered in time")
 
-    def _watched_phase(self, now: float) -> None:
-        for token, (phase, until) in list(self.watchers.items()):
-            if self.course.phase > phase or until <= now:
-                del self.watchers[token]
-                self.answers.append(Answer(token, Status.DONE, self.course.phase, self.member.leader))
+    def _answer_watches(self, now: float) -> None:
+        for token, (phase, deadline) in list(self.phase_watches.items()):
+            if self.rollout.phase > phase or deadline <= now:
+                del self.phase_watches[token]
+                self._answer_phase(token)
 
     def wake_at(self) -> float:
-        first = next(iter(self.asks.values()), None)
-        watched = min((until for _, until in self.watchers.values()), default=float("inf"))
-        step = self._step_at() if self.lead is not None else float("inf")
-        return min(super().wake_at(), self.flush_at, first.until if first else float("inf"), watched, step)
-
-    def _step_at(self) -> float:
-        """When a step falls due by time alone."""
-        if self.course.next:
-            return (
-                max(
-                    self.phase_at + self.terms.runs_out(self.terms.lease), self.lead.proposed.get("step", 0.0)
-                )
-                + 1e-3
-            )
-        return float("inf")
+        """When `tick` is due."""
+        watch = min((deadline for _, deadline in self.phase_watches.values()), default=float("inf"))
+        step = self._next_step_at() if self.lead is not None else float("inf")
+        return min(super().wake_at(), self.flush_at, self.requests.first_deadline(), watch, step)
+
+    def _next_step_at(self) -> float:
+        """When a step of a rollout falls due by time alone."""
+        if not self.rollout.announced:
+            return float("inf")
+        retry_at = self.lead.proposals.retry_at.get(ROLLOUT_STEP, 0.0)
+        return max(self.phase_seen_at + self.lease_expired_after, retry_at) + 1e-3
 
     def take(self, now: float) -> Out:
+        """All that follows from the latest inputs."""
         if now >= self.flush_at:
             self._flush(now)
-        self._lead(now)
+        self._take_steps(now)
         out = super().take(now)
         if self.lead is not None:  # what was applied may call for the next step
-            self._lead(now)
+            self._take_steps(now)
             more = super().take(now)
             out.messages += more.messages
             out.writes += more.writes
@@ -295,43 +344,57 @@
         return out
 
     def _read_done(self, now: float, token: int, holds: bool) -> bool:
-        """True where the read was one of its own."""
-        tokens = self.reading.pop(token, None)
+        """True where the read was one for lease requests."""
+        tokens = self.requests.reads.pop(token, None)
         if tokens is None:
             return False
         for each in tokens:
             if holds:
-                self._granted(now, each)
+                self._grant_lease(now, each)
             else:
-                self._no(each, "it leads no more")
+                self._reject(self.requests, each, "it leads no more")
         return True
 
     def _restored(self, snapshot: Snapshot) -> None:
         super()._restored(snapshot)
         now = self.member.now  # the steps were committed before this
-        self.phase_at = self.closed_at = self.forced_at = now
-        self.replaced_at = {each: now for each in self.course.alones if each != self.course.settled}
-        self._watched_phase(now)
+        self.phase_seen_at = self.removal_seen_at = now
+        rollout = self.rollout
+        self.alone_replaced_at = {each: now for each in rollout.alone_versions if each != rollout.in_force}
+        self._answer_watches(now)
 
     def _applied(self, index: int, entry: Any) -> None:
-        course, now = self.course, self.member.now
-        before = (course.phase, course.settled, len(course.holders))
+        rollout, now = self.rollout, self.member.now
+        phase, in_force, holders = rollout.phase, rollout.in_force, len(rollout.holders)
         super()._applied(index, entry)
-        if course.phase != before[0]:
-            self.phase_at = now
-            if self.lead is not None:
-                self.lead.proposed.pop("step", None)
-            self._watched_phase(now)
-        if course.settled != before[1] and before[1]:
-            self.replaced_at[before[1]] = now
-        self.replaced_at = {each: at for each, at in self.replaced_at.items() if each in course.alones}
-        if len(course.holders) < before[2]:
-            self.closed_at = now
-            if self.lead is not None:  # heard while it was being closed: opened again
-                again = [each for each in self.lead.told if each not in course.holders]
-                self.lead.strangers |= dict.fromkeys(again)
-        if len(course.holders) > before[2]:
-            if self.lead is not None:
-                self.lead.proposed.pop("open", None)
-            if self.asks:
-                self.flush_at = min(self.flush_at, now + GATHER)
+        if rollout.phase != phase:
+            self._phase_changed(now)
+        if rollout.in_force != in_force and in_force:
+            self.alone_replaced_at[in_force] = now
+        self.alone_replaced_at = {
+            version: since
+            for version, since in self.alone_replaced_at.items()
+            if version in rollout.alone_versions
+        }
+        if len(rollout.holders) < holders:
+            self._holders_removed(now)
+        if len(rollout.holders) > holders:
+            self._holders_admitted(now)
+
+    def _phase_changed(self, now: float) -> None:
+        self.phase_seen_at = now
+        if self.lead is not None:
+            self.lead.proposals.applied(ROLLOUT_STEP)
+        self._answer_watches(now)
+
+    def _holders_removed(self, now: float) -> None:
+        self.removal_seen_at = now
+        if self.lead is not None:  # heard while they were being removed: admitted again
+            again = [each for each in self.lead.statuses if each not in self.rollout.holders]
+            self.lead.unadmitted |= dict.fromkeys(again)
+
+    def _holders_admitted(self, now: float) -> None:
+        if self.lead is not None:
+            self.lead.proposals.applied(ADMISSION_STEP)
+        if len(self.requests):
+            self._flush_soon(now)
--- a/foxspread/fleet_rules/sidecar_rules.py
+++ b/foxspread/fleet_rules/sidecar_rules.py
@@ -1,38 +1,41 @@
-"""A sidecar's part in agreed rules: what its decisions are made under at this moment. Loaded where the
-operator's file has an `[agreed]` section, and by nothing else.
+"""What a sidecar's decisions are made under at this moment, where it follows the fleet's rules. Loaded where
+the operator's file has an `[agreed]` section, and by nothing else.
 
-`present` is asked before each decision and right before each first byte. It compares what the holder may act
-on at that moment with what the sidecar is on, and has it changed at once where these differ: so nothing is
-done under rules whose lease ran out while the process stood still.
+`present` is asked before each decision and right before each first byte. It compares what the lease holder
+may act on at that moment with what the sidecar acts on, and changes that at once where they differ: so
+nothing is done under rules whose lease expired while the process was stopped.
 """
 
 import asyncio
-import json
 import os
 import pathlib
 import secrets
 import time
 import zlib
 from collections.abc import Callable
-from dataclasses import asdict, dataclass, field, replace
+from dataclasses import dataclass, field, replace
 from typing import Any
 
 from loguru import logger
 
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.version_content import content
-from foxspread.fleet_rules.lease_client import Follower
-from foxspread.fleet_rules.lease_holder import Acting, Content, Holder, Kept, Mode
 from foxspread.config import ConfigError, NamedServer, Section, named_server, settings
+from foxspread.fleet_rules import codec, compatibility
+from foxspread.fleet_rules.codec import AloneState
+from foxspread.fleet_rules.compatibility import FlatRules, UnsupportedRuleError
+from foxspread.fleet_rules.lease_client import LeaseClient
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
+from foxspread.fleet_rules.version_content import VersionContent, parse_version
 from foxspread.operator.file import Agreed
 from foxspread.sums import Chance
 
-KEPT_MOST = 1 << 20  # characters of the kept file
+MAX_FILE_CHARACTERS = 1 << 20  # of the alone state's file; a version takes 32 KiB
+MAX_NAME_CHARACTERS = 48  # of a sidecar's name in its holder id, of which coordinators take 64
+DIGEST_CHARACTERS = 12  # of a version's digest in a line of the log
 
 
 @dataclass
-class Ruled:
-    """What a sidecar is on: settings as the balancer takes them, None where nothing may be done."""
+class ActiveRules:
+    """What a sidecar acts on: settings as the balancer takes them, None where nothing may be done."""
 
     mode: Mode = Mode.NONE
     phase: int = -1
@@ -44,183 +47,200 @@
 
     @property
     def alone(self) -> bool:
+        """Whether the lease has expired, and only the alone part holds."""
         return self.mode is Mode.ALONE
 
 
 @dataclass
-class Party:
-    """`own`: what the sidecar has for itself (`zone`, `position`, `seed`)."""
+class SidecarRules:
+    """`section`: of the operator's file. `own`: what the sidecar has for itself (`zone`, `position`,
+    `seed`). `clock` goes on while the machine is suspended: a lease runs on then."""
 
-    told: Agreed
+    section: Agreed
     name: str
     own: dict[str, Any]
     clock: Callable[[], float] = lambda: time.clock_gettime(time.CLOCK_BOOTTIME)
-    on: Ruled = field(default_factory=Ruled)
-    follower: Follower | None = None
+    active: ActiveRules = field(default_factory=ActiveRules)
+    client: LeaseClient | None = None
 
     def __post_init__(self) -> None:
-        # One of its own for each start: another process under this name may still hold what it was given.
-        safe = "".join(
-            each if each.isascii() and (each.isalnum() or each in "._-") else "-" for each in self.name
+        self.holder_id = _holder_id(self.name)
+        self.chance = Chance(zlib.crc32(self.holder_id.encode()))
+        self.boot = _boot_id()
+        self.holder = LeaseHolder(
+            self.clock(),
+            self.holder_id,
+            self._check,
+            self.chance.draw,
+            boot=self.boot,
+            restored=self._read_alone_state(),
         )
-        self.id = f"{safe[:48]}/{secrets.token_hex(4)}"
-        self.chance = Chance(zlib.crc32(self.id.encode()))
-        self.boot = _boot()
-        self.holder = Holder(
-            self.clock(), self.id, self._check, self.chance.draw, boot=self.boot, kept=self._read_kept()
+        self.on_change: Callable[[ActiveRules], None] = lambda active: None
+        self.seen_phase = -1  # the holder's phase when it was last looked at
+        self.written_at = float("-inf")  # when the alone state was last written
+        self.writing: asyncio.Task | None = None
+
+    def start(self, changed: Callable[[ActiveRules], None]) -> None:
+        """`changed` is called whenever the active rules change, and has to take that up before it returns."""
+        self.on_change = changed
+        self.client = LeaseClient(
+            self.holder,
+            self.clock,
+            self.section.coordinators,
+            self.chance.draw,
+            self._activate,
+            self._on_renewal,
         )
-        self.changed: Callable[[Ruled], None] = lambda ruled: None
-        self.heard = -1  # the holder's phase when that was last looked at
-        self.kept_at = float("-inf")
-        self.keeping: asyncio.Task | None = None
-
-    def start(self, changed: Callable[[Ruled], None]) -> None:
-        """`changed` is called whenever what it is on changes, and has to take that up before it returns."""
-        self.changed = changed
-        self.follower = Follower(
-            self.holder, self.clock, self.told.coordinators, self.chance.draw, self._take_up, self._renewed
-        )
-        self._take_up(self.holder.acting(self.clock()))
+        self._activate(self.holder.effective(self.clock()))
 
     def present(self) -> bool:
-        """Whether anything may be done at this moment; what the sidecar is on is then what it may act on."""
+        """Whether anything may be done at this moment; the active rules are then those that hold now."""
         now = self.clock()
-        if self.follower is None:
-            return False  # nobody is told yet what it is on
-        if now >= self.on.until or self.holder.phase != self.heard:
-            self._take_up(self.holder.acting(now))
-        return self.on.settings is not None
+        if self.client is None:
+            return False  # nobody takes up what changes yet
+        if now >= self.active.until or self.holder.phase != self.seen_phase:
+            self._activate(self.holder.effective(now))
+        return self.active.settings is not None
 
     def between(self) -> bool:
         """Whether a category that is not there may be there again soon."""
-        return self.on.mode is not Mode.SETTLED
+        return self.active.mode is not Mode.IN_FORCE
 
     def back_in(self) -> float:
         """Seconds after which a client may come again that nothing can be done for."""
         return 0.5 + self.chance.draw()
 
-    def _renewed(self) -> None:
+    def _on_renewal(self) -> None:
         now = self.clock()
-        if self.told.file and now - self.kept_at > self.holder.lease:
-            self._keep(now)
+        if self.section.file and now - self.written_at > self.holder.lease_seconds:
+            self._write_alone_state(now)
 
-    def _take_up(self, acting: Acting) -> None:
-        until, self.heard = self.holder.changes_at(self.clock()), self.holder.phase
-        if (acting.mode, acting.phase) == (self.on.mode, self.on.phase):
-            self.on.until = until
+    def _activate(self, effective: EffectiveRules) -> None:
+        until, self.seen_phase = self.holder.next_expiry(self.clock()), self.holder.phase
+        if (effective.mode, effective.phase) == (self.active.mode, self.active.phase):
+            self.active.until = until
             return
-        self.on = Ruled(acting.mode, acting.phase, until=until)
-        if acting.mode is not Mode.NONE:
+        self.active = ActiveRules(effective.mode, effective.phase, until=until)
+        if effective.mode is not Mode.NONE:
             try:
-                self.on = replace(
-                    self._ruled(acting.rules), mode=acting.mode, phase=acting.phase, until=until
-                )
+                rules = self._balancer_rules(effective.rules)
+                self.active = replace(rules, mode=effective.mode, phase=effective.phase, until=until)
             except ConfigError as error:  # it was checked: guards service against a fault of our own
-                logger.error("rules of phase {} can't be acted on: {}", acting.phase, error)
+                logger.error("rules of phase {} can't be acted on: {}", effective.phase, error)
         logger.info(
             "rules mode={} phase={} version={} next={} digest={}",
-            acting.mode.value,
-            acting.phase,
-            self.holder.settled,
-            self.holder.next,
-            self._digest()[:12] or "-",
+            effective.mode.value,
+            effective.phase,
+            self.holder.in_force,
+            self.holder.announced,
+            self._digest()[:DIGEST_CHARACTERS] or "-",
         )
-        self.changed(self.on)
-        self.kept_at = float("-inf")
+        self.on_change(self.active)
+        self.written_at = float("-inf")
 
     def _digest(self) -> str:
-        held = self.holder.contents.get(self.holder.settled)
-        return held.digest if held is not None else ""
+        """Of the version in force, empty where its content is not here."""
+        content = self.holder.contents.get(self.holder.in_force)
+        return content.digest if content is not None else ""
 
-    def _ruled(self, rules: compatibility.Flat) -> Ruled:
-        """Raises `ConfigError` with key and value."""
-        tree = compatibility.tree(rules)
+    def _balancer_rules(self, rules: FlatRules) -> ActiveRules:
+        """Rules in the form in which the balancer takes them. Raises `ConfigError` with key and value."""
+        tree = compatibility.unflatten(rules)
         lists = tree.get("lists", {})
         own = {"az": self.own["zone"], "position": self.own["position"]}
-        found = settings(Section(tree.get("settings", {}) | own, "settings"), self.own["seed"])
+        arguments = settings(Section(tree.get("settings", {}) | own, "settings"), self.own["seed"])
         servers, only = None, lists.get("only", "all")
         if lists.get("source") == "here":
             rows = Section({"servers": lists.get("servers", [])}, "lists").sections("servers")
             servers = [named_server(Section(row.values | {"state": "ready"}, row.path)) for row in rows]
-        return Ruled(
-            settings=found | {"asks": True},
+        return ActiveRules(
+            settings=arguments | {"asks": True},
             servers=servers,
             taken_out=frozenset(lists.get("taken_out", [])),
             only=None if only == "all" else frozenset(only),
         )
 
-    def _check(self, text: bytes) -> Content:
+    def _check(self, text: bytes) -> VersionContent:
         """Before it confirms: whether this build, on this machine, could act on it in all modes."""
         try:
-            found = content(text)
-            for rules in (found.rules, found.alone):
+            content = parse_version(text)
+            for rules in (content.rules, content.alone):
                 if rules:
-                    self._ruled(rules)
-        except (ConfigError, compatibility.NoRule) as error:
+                    self._balancer_rules(rules)
+        except (ConfigError, UnsupportedRuleError) as error:
             raise ValueError(str(error)) from None
-        return found
+        return content
 
     def figures(self) -> dict[str, Any]:
-        """For the operators' door."""
+        """For `/stats` and the health of the operators' port."""
         now, holder = self.clock(), self.holder
         return {
-            "mode": self.on.mode.value,
+            "mode": self.active.mode.value,
             "phase": holder.phase,
-            "version": holder.settled,
-            "next": holder.next,
+            "version": holder.in_force,
+            "next": holder.announced,
             "digest": self._digest(),
-            "holder": self.id,
-            "lease_left": round(max(0.0, holder.until - now), 3),
+            "holder": self.holder_id,
+            "lease_left": round(max(0.0, holder.lease_until - now), 3),
             "alone_left": round(max(0.0, holder.alone_until - now), 3) if holder.alone else 0.0,
-            "turned_down": holder.refused[1],
-            "calls": self.follower.calls if self.follower else 0,
-            "calls_failed": self.follower.failed if self.follower else 0,
+            "turned_down": holder.refusal_reason,
+            "calls": self.client.calls if self.client else 0,
+            "calls_failed": self.client.failed_calls if self.client else 0,
         }
 
-    # What goes over a restart
+    # What is kept over a restart
 
-    def _read_kept(self) -> Kept | None:
-        """What the file says where it is one of this boot of the machine; a lease is never kept."""
-        if not self.told.file or not self.boot:
+    def _read_alone_state(self) -> AloneState | None:
+        """What the file says, where it is of this boot of the machine; a lease is never kept."""
+        if not self.section.file or not self.boot:
             return None
         try:
-            with open(self.told.file, encoding="utf-8") as file:
-                row = json.loads(file.read(KEPT_MOST))
-            kept = Kept(str(row["boot"]), int(row["settled"]), dict(row["alone"]), float(row["alone_until"]))
-            if kept.boot == self.boot and kept.alone:
-                self._ruled(kept.alone)
+            with open(self.section.file, encoding="utf-8") as file:
+                state = codec.decode_alone_state(file.read(MAX_FILE_CHARACTERS))
+            if state.boot == self.boot and state.alone:
+                self._balancer_rules(state.alone)
         except FileNotFoundError:
             return None
         except (OSError, ValueError, KeyError, TypeError, RecursionError, ConfigError) as error:
-            logger.warning("'agreed.file': {} is left out: {}", self.told.file, error)
+            logger.warning("'agreed.file': {} is left out: {}", self.section.file, error)
             return None
-        return kept
+        return state
 
-    def _keep(self, now: float) -> None:
+    def _write_alone_state(self, now: float) -> None:
         """In a thread of its own, for a disk may stall; one at a time."""
-        if self.keeping is not None and not self.keeping.done():
+        if self.writing is not None and not self.writing.done():
             return
-        self.kept_at = now
-        text = json.dumps(asdict(self.holder.kept()))
-        self.keeping = asyncio.ensure_future(asyncio.to_thread(self._write, text))
+        self.written_at = now
+        text = codec.encode_alone_state(self.holder.alone_state())
+        self.writing = asyncio.ensure_future(asyncio.to_thread(self._replace_file, text))
 
-    def _write(self, text: str) -> None:
-        aside = pathlib.Path(self.told.file + ".new")
+    def _replace_file(self, text: str) -> None:
+        new = pathlib.Path(self.section.file + ".new")
         try:
-            aside.write_text(text, encoding="utf-8")
-            os.replace(aside, self.told.file)
+            new.write_text(text, encoding="utf-8")
+            os.replace(new, self.section.file)
         except OSError as error:
-            logger.warning("'agreed.file': {} is not written: {}", self.told.file, error)
+            logger.warning("'agreed.file': {} is not written: {}", self.section.file, error)
 
     async def close(self) -> None:
-        if self.follower is not None:
-            await self.follower.close()
-        if self.keeping is not None:
-            await asyncio.gather(self.keeping, return_exceptions=True)
+        """Ends its calls, and lets a file that is being written come to its end."""
+        if self.client is not None:
+            await self.client.close()
+        if self.writing is not None:
+            await asyncio.gather(self.writing, return_exceptions=True)
+
+
+def _holder_id(name: str) -> str:
+    """One of its own for each start: another process under this name may still hold a lease."""
+    safe = "".join(
+        character if character.isascii() and (character.isalnum() or character in "._-") else "-"
+        for character in name
+    )
+    return f"{safe[:MAX_NAME_CHARACTERS]}/{secrets.token_hex(4)}"
 
 
-def _boot() -> str:
-    """Of the machine's present run; "" where it can't be told, and then nothing is kept."""
+def _boot_id() -> str:
+    """Of the machine's present run; empty where it can't be read, and then nothing is kept."""
     try:
         return pathlib.Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
--- a/foxspread/fleet_rules/version_content.py
+++ b/foxspread/fleet_rules/version_content.py
@@ -1,15 +1,29 @@
-"""A version's text as it is acted on, for coordinators and sidecars alike."""
+"""A version's text turned into the rules that are acted on, for coordinators and sidecars alike."""
 
 import functools
 import hashlib
+from dataclasses import dataclass
 
 from foxspread.fleet_rules import compatibility, rules_parser
-from foxspread.fleet_rules.lease_holder import Content
+from foxspread.fleet_rules.compatibility import FlatRules
 
+CACHED_VERSIONS = 128  # a version is needed again at each phase; parsing one takes milliseconds
 
-@functools.lru_cache(maxsize=128)  # asked for again with each step; what is given is never changed
-def content(text: bytes) -> Content:
-    """Raises `ConfigError`, `compatibility.NoRule` with key and value."""
-    found = rules_parser.read(text)
-    full = compatibility.checked(found.rules)
-    return Content(full, compatibility.alone_of(full, found.alone), hashlib.sha256(text).hexdigest())
+
+@dataclass(frozen=True)
+class VersionContent:
+    """A version that was checked. `alone`: what a sidecar acts on whose lease has expired; `digest`: SHA-256
+    of the text, in hex."""
+
+    rules: FlatRules
+    alone: FlatRules
+    digest: str = ""
+
+
+@functools.lru_cache(maxsize=CACHED_VERSIONS)  # what is returned is shared, and never changed
+def parse_version(text: bytes) -> VersionContent:
+    """Raises `ConfigError` or `UnsupportedRuleError`, with key and value."""
+    parsed = rules_parser.parse(text)
+    rules = compatibility.with_defaults(parsed.rules)
+    alone = compatibility.alone_rules(rules, parsed.alone)
+    return VersionContent(rules, alone, hashlib.sha256(text).hexdigest())
--- a/foxspread/lab/processes/child.py
+++ b/foxspread/lab/processes/child.py
@@ -10,13 +10,13 @@
 import sys
 from typing import Any
 
-from foxspread.fleet_rules.rollout import Course
-from foxspread.fleet_rules.coordinator_process import StewardProcess
-from foxspread.fleet_rules.lease_manager import Steward
 from foxspread.cli.coordinator import serve
 from foxspread.consensus.clock import Clock
 from foxspread.consensus.disk import Disk
 from foxspread.consensus.versions import Versions
+from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess
+from foxspread.fleet_rules.lease_manager import LeaseManager
+from foxspread.fleet_rules.rollout import Rollout
 
 FAILS = "fsync-fails"  # a file of this name in the folder
 
@@ -34,11 +34,11 @@
         from foxspread.lab.processes.mutants import MUTANTS
 
         broken = MUTANTS[args[2]].broken
-        Steward.kind = broken.member
+        LeaseManager.kind = broken.member
         if broken.versions is not Versions:
-            Steward.versions_kind = type("Broken", (broken.versions, Course), {})
+            LeaseManager.versions_kind = type("Broken", (broken.versions, Rollout), {})
 
-    class Child(StewardProcess):
+    class Child(LeaseManagerProcess):
         disk_kind = FailingDisk
 
         def __init__(self, *told: Any) -> None:
--- a/foxspread/lab/processes/end_to_end_child.py
+++ b/foxspread/lab/processes/end_to_end_child.py
@@ -1,4 +1,4 @@
-"""A whole sidecar with one thing broken, for the judge to be tried on:
+"""A whole sidecar with one thing broken, for the judge to be tried on.
 
 python -m foxspread.lab.processes.end_to_end_child MUTANT --operator FILE
 """
@@ -10,51 +10,58 @@
 from foxspread import __main__ as sidecar
 from foxspread import change
 from foxspread.fleet_rules import sidecar_rules
+from foxspread.fleet_rules.lease_holder import LeaseHolder
+from foxspread.fleet_rules.sidecar_rules import SidecarRules
+from foxspread.fleet_rules.version_content import VersionContent
 from foxspread.lab.processes.fleet_rules_mutants import FromAnswer, Newest
 from foxspread.net.sidecar import Sidecar
 
+OLDER_BUILD_LIMIT = 4  # hand-offs that the older build knows
 
-def holder(kind: type) -> Callable[[], None]:
-    def broken() -> None:
-        sidecar_rules.Holder = kind
 
-    return broken
+def with_holder(kind: type[LeaseHolder]) -> Callable[[], None]:
+    """A broken lease holder in place of the sound one."""
+
+    def install() -> None:
+        sidecar_rules.LeaseHolder = kind
+
+    return install
 
 
 def own_file() -> None:
     """Acts by its own file's rules until it hears of others."""
-    started = Sidecar.__init__
+    sound_init = Sidecar.__init__
 
-    def begun(self: Sidecar, *told: Any, **more: Any) -> None:
-        started(self, *told, **more)
+    def broken_init(self: Sidecar, *arguments: Any, **options: Any) -> None:
+        sound_init(self, *arguments, **options)
         self.facade.change(self.clock(), self.config.decisions)
         self.counts.know(self.facade.categories)
 
-    Sidecar.__init__ = begun
-    present = sidecar_rules.Party.present
-    sidecar_rules.Party.present = lambda self: present(self) or not self.holder.settled
+    Sidecar.__init__ = broken_init
+    sound_present = SidecarRules.present
+    SidecarRules.present = lambda self: sound_present(self) or not self.holder.in_force
 
 
 def old_lookups() -> None:
-    """Lookups that were taken before a change go on as before it."""
+    """Lookups that were accepted before a change go on as before it."""
     change._lookups = lambda it, now: None
 
 
 def late_change() -> None:
     """Confirms what it will act on half a second later."""
-    ruled = Sidecar._ruled
-    Sidecar._ruled = lambda self, told: self.loop.call_later(0.5, ruled, self, told)
+    sound = Sidecar._ruled
+    Sidecar._ruled = lambda self, rules: self.loop.call_later(0.5, sound, self, rules)
 
 
 def out_unheard() -> None:
-    """Sends on to what is taken out for all."""
+    """Sends to servers that are taken out for all."""
     change.lists = lambda it, now, taken_out, only: None
 
 
 def list_kept() -> None:
     """Goes on by the first list that it had."""
-    ruled = Sidecar._ruled_list
-    Sidecar._ruled_list = lambda self, told: None if self.list_ruled else ruled(self, told)
+    sound = Sidecar._ruled_list
+    Sidecar._ruled_list = lambda self, rules: None if self.list_ruled else sound(self, rules)
 
 
 def regroups() -> None:
@@ -64,20 +71,20 @@
 
 def older_build() -> None:
     """Not broken: it knows no more than four hand-offs, and says so."""
-    check = sidecar_rules.Party._check
+    sound_check = SidecarRules._check
 
-    def picky(self: sidecar_rules.Party, text: bytes) -> Any:
-        found = check(self, text)
-        if found.rules["settings.limits.max_hand_offs"] > 4:
-            raise ValueError("'settings.limits.max_hand_offs' must be at most 4")
-        return found
+    def check(self: SidecarRules, text: bytes) -> VersionContent:
+        content = sound_check(self, text)
+        if content.rules["settings.limits.max_hand_offs"] > OLDER_BUILD_LIMIT:
+            raise ValueError(f"'settings.limits.max_hand_offs' must be at most {OLDER_BUILD_LIMIT}")
+        return content
 
-    sidecar_rules.Party._check = picky
+    SidecarRules._check = check
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
-    "newest": holder(Newest),
-    "from_answer": holder(FromAnswer),
+    "newest": with_holder(Newest),
+    "from_answer": with_holder(FromAnswer),
     "own_file": own_file,
     "old_lookups": old_lookups,
     "late_change": late_change,
--- a/foxspread/lab/processes/fleet_rules_mutants.py
+++ b/foxspread/lab/processes/fleet_rules_mutants.py
@@ -1,5 +1,5 @@
-"""Broken ways to act on agreed rules. Each breaks one thing that a sidecar or a coordinator must do, and is
-to be caught by the rule that stands beside it, from acts alone. `newest` is how a fleet without leases does
+"""Broken ways to act on fleet rules. Each breaks one thing that a sidecar or a coordinator must do, and is to
+be caught by the invariant that stands beside it, from acts alone. `newest` is how a fleet without leases does
 it: each acts on the newest version that it has heard of, for ever.
 """
 
@@ -7,147 +7,167 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from foxspread.fleet_rules.rollout import Course, Terms
-from foxspread.fleet_rules.lease_holder import Acting, Ask, Grant, Holder, Kept, Mode
-from foxspread.fleet_rules.lease_manager import Heard, Lead, Steward
 from foxspread.consensus.coordinator import Answer, Status
 from foxspread.consensus.core import Role
+from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
+from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
+from foxspread.fleet_rules.lease_manager import HolderStatus, LeaderState, LeaseManager
+from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
+from foxspread.fleet_rules.version_content import VersionContent
 from foxspread.lab.processes import fleet_rules_simulation
-from foxspread.lab.processes.fleet_rules_simulation import AgreedPlan, Broken, Result
+from foxspread.lab.processes.fleet_rules_simulation import Broken, FleetRulesPlan, Result
 
 
-class FromAnswer(Holder):
-    """Counts a lease from the answer, not from the asking."""
+class FromAnswer(LeaseHolder):
+    """Counts a lease from the answer, not from the request."""
 
-    def _until(self, asked: float, now: float, seconds: float) -> float:
+    def _expiry(self, sent_at: float, now: float, seconds: float) -> float:
         return now + seconds * (1 - self.drift)
 
 
-class NoDrift(Holder):
+class NoDrift(LeaseHolder):
     """Takes its clock for the coordinators' clock."""
 
-    def _until(self, asked: float, now: float, seconds: float) -> float:
-        return asked + seconds
+    def _expiry(self, sent_at: float, now: float, seconds: float) -> float:
+        return sent_at + seconds
 
 
-class ChecksEarly(Holder):
-    """Looks whether it may act when it decides, and not again when it acts."""
+class ChecksEarly(LeaseHolder):
+    """Checks whether it may act when it decides, and not again when it acts."""
 
-    def may(self, now: float, decided: Acting) -> bool:
+    def may_act(self, now: float, decided: EffectiveRules) -> bool:
+        """Without a look at the present."""
         return decided.mode is not Mode.NONE
 
 
-class ConfirmsEarly(Holder):
+class ConfirmsEarly(LeaseHolder):
     """Confirms a phase when it hears of it, before it acts so."""
 
-    def ask(self, now: float) -> Ask | None:
-        ask = super().ask(now)
-        return ask and replace(ask, phase=max(ask.phase, self.heard))
+    heard_phase = 0
+    delayed_until = -100.0
 
-    heard = 0
+    def request_due(self, now: float) -> LeaseRequest | None:
+        """Says the phase that it has heard of."""
+        request = super().request_due(now)
+        return request and replace(request, phase=max(request.phase, self.heard_phase))
 
-    def answered(self, now: float, ask: Ask, grant: Grant) -> None:
-        self.heard = max(self.heard, grant.phase)
-        if grant.phase > self.phase and self.settled and now < self.until:
+    def on_grant(self, now: float, request: LeaseRequest, grant: LeaseGrant) -> None:
+        """Is busy, and takes the phase up a second later."""
+        self.heard_phase = max(self.heard_phase, grant.phase)
+        if grant.phase > self.phase and self.in_force and now < self.lease_until:
             if self.delayed_until < now - 5:
                 self.delayed_until = now + 1.0
-            if now < self.delayed_until:  # it is busy, and takes the phase up later
-                return self.soon(now + 0.05)
-        super().answered(now, ask, grant)
+            if now < self.delayed_until:
+                return self.request_now(now + 0.05)
+        super().on_grant(now, request, grant)
 
-    delayed_until = -100.0
 
+@dataclass(frozen=True)
+class KeptLease:
+    """What `GoesBack` keeps over a restart."""
+
+    phase: int
+    in_force: int
+    announced: int
+    rules: FlatRules
+    contents: dict[int, VersionContent]
 
-class GoesBack(Holder):
-    """Acts on after a restart as before it, by the file that it kept."""
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
-        kept: Kept | None = told[-1]
-        if kept is not None and (lease := LEASES.get(self.id.partition("/")[0])) is not None:
-            self.phase, self.settled, self.next, self.rules, self.until, self.contents = lease
-
-    def _adopt(self, now: float) -> None:
-        super()._adopt(now)
-        LEASES[self.id.partition("/")[0]] = (
-            self.phase,
-            self.settled,
-            self.next,
-            self.rules,
-            float("inf"),
-            dict(self.contents),
-        )
+KEPT_LEASES: dict[str, KeptLease] = {}  # by a sidecar's name
 
 
-LEASES: dict[str, tuple] = {}
+class GoesBack(LeaseHolder):
+    """Acts on after a restart as before it, by the file that it kept."""
+
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        restored: AloneState | None = arguments[-1]
+        kept = KEPT_LEASES.get(self.holder_id.partition("/")[0])
+        if restored is not None and kept is not None:
+            self.phase, self.in_force, self.announced = kept.phase, kept.in_force, kept.announced
+            self.rules, self.lease_until, self.contents = kept.rules, float("inf"), kept.contents
+
+    def _apply_pending(self, now: float) -> None:
+        super()._apply_pending(now)
+        KEPT_LEASES[self.holder_id.partition("/")[0]] = KeptLease(
+            self.phase, self.in_force, self.announced, self.rules, dict(self.contents)
+        )
 
 
-class TakesOlder(Holder):
+class TakesOlder(LeaseHolder):
     """Goes back to an older phase when an answer comes late."""
 
-    def answered(self, now: float, ask: Ask, grant: Grant) -> None:
-        if grant.phase < self.phase and grant.settled:
+    def on_grant(self, now: float, request: LeaseRequest, grant: LeaseGrant) -> None:
+        """Forgets its phase first."""
+        if grant.phase < self.phase and grant.in_force:
             self.phase = 0
-        super().answered(now, ask, grant)
+        super().on_grant(now, request, grant)
 
 
-class Newest(Holder):
+class Newest(LeaseHolder):
     """No leases: the newest version that it has heard of, for ever."""
 
-    def answered(self, now: float, ask: Ask, grant: Grant) -> None:
-        super().answered(now, ask, replace(grant, lease=1e9))
+    def on_grant(self, now: float, request: LeaseRequest, grant: LeaseGrant) -> None:
+        """As of a lease without end."""
+        super().on_grant(now, request, replace(grant, lease=1e9))
 
 
-class DoesntWait(Steward):
-    """One that leads anew takes the next step at once."""
+class DoesntWait(LeaseManager):
+    """A new leader takes the next step at once."""
 
-    def _lead(self, now: float) -> None:
-        if self.member.role is Role.LEADER and (self.lead is None or self.lead.term != self.member.term):
-            self.lead = Lead(self.member.term, now)
-            self.phase_at = -1e9
-        super()._lead(now)
+    def _take_steps(self, now: float) -> None:
+        member = self.member
+        if member.role is Role.LEADER and (self.lead is None or self.lead.term != member.term):
+            self.lead = LeaderState(member.term, now)
+            self.phase_seen_at = -1e9
+        super()._take_steps(now)
 
 
-class Unverified(Steward):
-    """Gives leases on what it knows itself, without asking whether that is the latest."""
+class Unverified(LeaseManager):
+    """Grants leases on what it knows itself, without asking whether that is the latest."""
 
-    def ask(self, now: float, token: int, ask: Ask) -> None:
-        super().ask(now, token, ask)
-        if ask.holder in self.course.holders and self.asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.DONE, self.grant(), self.member.leader))
+    def request_lease(self, now: float, token: int, request: LeaseRequest) -> None:
+        """Answers at once."""
+        super().request_lease(now, token, request)
+        if request.holder_id in self.rollout.holders and self.requests.remove(token) is not None:
+            self.answers.append(Answer(token, Status.DONE, self.current_grant(), self.member.leader))
 
 
-class ForgetsClosed(Steward):
-    """Takes one of which nothing was heard for half a lease for gone, with all that it was given."""
+class ForgetsRemoved(LeaseManager):
+    """Takes a holder of which nothing was heard for half a lease for gone, with all that it was granted."""
 
-    def _close(self, now: float, lead: Lead) -> None:
-        for each in list(self.course.holders):
-            if now - lead.heard.get(each, lead.since) > 0.5 * self.terms.lease:
-                lead.told[each] = Heard(self.course.phase)
+    def _remove_silent(self, now: float, lead: LeaderState) -> None:
+        for holder in list(self.rollout.holders):
+            if now - lead.last_heard.get(holder, lead.since) > 0.5 * self.terms.lease:
+                lead.statuses[holder] = HolderStatus(self.rollout.phase)
 
 
-class LooseAlone(Course):
-    """Doesn't look whether one alone would do what a version forbids."""
+class LooseAlone(Rollout):
+    """Doesn't check whether a sidecar that is alone would do what a version forbids."""
 
-    def unfit(self, number: int) -> str:
+    def incompatibility(self, number: int) -> str:
+        """Finds nothing."""
         return ""
 
 
-class ForcesAtOnce(Steward):
+class ForcesAtOnce(LeaseManager):
     """Takes the second step with the first."""
 
-    def _all_confirmed(self, now: float, lead: Lead) -> bool:
+    def _all_confirmed(self, now: float, lead: LeaderState) -> bool:
         return True
 
 
 @dataclass(frozen=True)
 class Mutant:
+    """A broken part, the invariants that are to catch it, and what its plan has of its own."""
+
     broken: Broken
     rules: tuple[str, ...]
     plan: dict[str, Any] = field(default_factory=dict)
 
 
-WILD = Terms(lease=1.5, alone=4.0, drift=0.1)  # clocks that run a tenth fast or slow
+WILD_TERMS = LeaseTerms(lease=1.5, alone=4.0, drift=0.1)  # clocks that run a tenth fast or slow
 CUT = {"faults": ("car_silent", "car_in", "car_out", "cars_cut"), "most": 12}
 MUTANTS: dict[str, Mutant] = {
     "from_answer": Mutant(
@@ -158,7 +178,7 @@
     "no_drift": Mutant(
         Broken(holder=NoDrift),
         ("in_force", "bound"),
-        {"faults": ("cars_cut",), "most": 24, "acts": 20.0, "pause": 0.6, "terms": WILD},
+        {"faults": ("cars_cut",), "most": 24, "acts": 20.0, "pause": 0.6, "terms": WILD_TERMS},
     ),
     "checks_early": Mutant(Broken(holder=ChecksEarly), ("in_force", "bound", "none_yet")),
     "confirms_early": Mutant(
@@ -174,16 +194,16 @@
     ),
     "newest": Mutant(Broken(holder=Newest), ("in_force", "bound"), CUT),
     "doesnt_wait": Mutant(
-        Broken(steward=DoesntWait),
+        Broken(manager=DoesntWait),
         ("in_force", "bound"),
         {"faults": ("kill", "away", "cars_cut", "car_silent"), "most": 14},
     ),
     "unverified": Mutant(
-        Broken(steward=Unverified), ("in_force", "bound"), {"faults": ("silent", "silent_in", "split")}
+        Broken(manager=Unverified), ("in_force", "bound"), {"faults": ("silent", "silent_in", "split")}
     ),
-    "forgets_closed": Mutant(Broken(steward=ForgetsClosed), ("in_force", "bound"), CUT),
-    "loose_alone": Mutant(Broken(course=LooseAlone), ("in_force",), CUT),
-    "forces_at_once": Mutant(Broken(steward=ForcesAtOnce), ("in_force", "bound")),
+    "forgets_closed": Mutant(Broken(manager=ForgetsRemoved), ("in_force", "bound"), CUT),
+    "loose_alone": Mutant(Broken(rollout=LooseAlone), ("in_force",), CUT),
+    "forces_at_once": Mutant(Broken(manager=ForcesAtOnce), ("in_force", "bound")),
     "suspended_clock": Mutant(
         Broken(stops_suspended=True),
         ("in_force", "bound"),
@@ -192,11 +212,18 @@
 }
 
 
-def caught(name: str, seeds: range, base: AgreedPlan = AgreedPlan()) -> Iterator[Result]:
-    """Runs that break a rule."""
-    mutant = MUTANTS[name]
+def played(plan: FleetRulesPlan, seed: int, mutant: str) -> Result:
+    """One seed with a broken part; empty: the sound ones."""
+    if not mutant:
+        return fleet_rules_simulation.played(plan, seed)
+    found = MUTANTS[mutant]
+    KEPT_LEASES.clear()
+    return fleet_rules_simulation.played(replace(plan, **found.plan), seed, found.broken)
+
+
+def caught(name: str, seeds: range, base: FleetRulesPlan = FleetRulesPlan()) -> Iterator[Result]:
+    """Runs that break an invariant."""
     for seed in seeds:
-        LEASES.clear()
-        result = fleet_rules_simulation.played(replace(base, **mutant.plan), seed, mutant.broken)
+        result = played(base, seed, name)
         if result.faults:
             yield result
--- a/foxspread/lab/processes/fleet_rules_processes.py
+++ b/foxspread/lab/processes/fleet_rules_processes.py
@@ -1,139 +1,99 @@
-"""Real coordinators and sidecars' parts (`car`) on loopback, a relay on each way between them, and a stand-in
-server that notes when which act came. Judged by that ledger alone: once somebody has acted on a version that
-is in force, nobody's act may be one that it forbids.
+"""Real coordinators and lease holders on loopback, a relay on each way between them, and a stand-in server
+that records when which act came. Judged by that record alone: once somebody has acted on a version that is in
+force, nobody's act may be one that it forbids.
 """
 
 import asyncio
 import contextlib
 import json
-import pathlib
 import random
 import re
-import shutil
-import signal
-import sys
 import time
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.version_content import content
-from foxspread.fleet_rules.compatibility import Kind
 from foxspread.consensus.client import call
-from foxspread.lab.processes.fleet_rules_simulation import drawn
+from foxspread.fleet_rules import codec, compatibility
+from foxspread.fleet_rules.lease_holder import Mode
+from foxspread.fleet_rules.version_content import parse_version
 from foxspread.lab.processes.fleet import Fleet
+from foxspread.lab.processes.lease_holder_process import ActLine
+from foxspread.lab.processes.random_versions import random_version
 from foxspread.lab.processes.real import ERRORS, Play
-from foxspread.lab.processes.relay import Relay
 from foxspread.lab.processes.scenario import Scenario
+from foxspread.lab.processes.sidecar_process import SidecarProcess
 
-CAR_FAULTS = ("silent", "silent_out", "silent_in", "reset", "held", "half_open", "stall", "restart")
+# Names as they stand in scripts, in reports and in the journal.
+SIDECAR_FAULTS = ("silent", "silent_out", "silent_in", "reset", "held", "half_open", "stall", "restart")
 NODE_FAULTS = ("silent", "stall", "kill", "term", "hand_over")
-LATE = 0.05  # seconds that a line may be on its way to the server: it was sent before it was seen
+NODE_FAULT_SHARE = 0.3
+LATE_SECONDS = 0.05  # that a line may be on its way to the server: it was sent before it was seen
+DRIFT = 1.02  # by which a lease's bound is longer than the lease
+MAX_FAULT_SECONDS = 4.0
+MAX_FAULTS = 5  # that are reported of a run
+RECENT_SECONDS = 1.0  # in which a sidecar that works has acted
+SETTLE_SECONDS, MUTANT_SETTLE_SECONDS = 10.0, 1.0  # at the end, for all to act on the latest version
+ANNOUNCE_TIMEOUT = 1.5  # of a put; it is repeated with the same request id
 
 
-@dataclass
+@dataclass(frozen=True)
 class Act:
+    """An act as the server saw it."""
+
     at: float
-    car: str
-    mode: str
-    phase: int
-    settled: int
-    rules: dict[str, Any]
+    holder_id: str
+    line: ActLine
+
+
+@dataclass(frozen=True)
+class ScriptedFault:
+    """`target`: a sidecar, a coordinator, or `leader`."""
+
+    at: float
+    kind: str
+    target: str
+    lasts: float
 
 
 @dataclass
-class Told:
+class RunResult:
+    """What one run gave. `events`: the faults that struck, as lines. `longest_violations`: by key with
+    nothing between two values, seconds."""
+
     seed: int
     faults: list[str]
-    befell: list[str]
+    events: list[str]
     acts: dict[str, int] = field(default_factory=dict)
     versions: int = 0
-    worst: dict[str, float] = field(
-        default_factory=dict
-    )  # by key without anything between: longest contradiction
-    reached: list[float] = field(default_factory=list)  # from put to acted on by all that were not cut off
-
-
-class Car:
-    def __init__(self, play: "Sidecars", name: str) -> None:
-        self.play, self.name = play, name
-        self.chance = play.fleet.rng(name)
-        self.ways = {
-            each: Relay(f"{name}-{each}", play.fleet.rng(f"{name}-{each}")) for each in play.fleet.names
+    longest_violations: dict[str, float] = field(default_factory=dict)
+
+    def as_row(self) -> dict[str, Any]:
+        """In the form that `--json` prints and the journal keeps, by its first spelling."""
+        return {
+            "seed": self.seed,
+            "faults": self.faults,
+            "befell": self.events,
+            "acts": self.acts,
+            "versions": self.versions,
+            "worst": self.longest_violations,
+            "reached": [],
         }
-        self.file = play.fleet.folder / f"{name}.json"
-        self.log = play.fleet.folder / f"{name}.log"
-        self.rate, self.starts = 1.0, 0  # clocks that run fast or slow: in virtual time
-        self.process: asyncio.subprocess.Process | None = None
-        self.older: list[pathlib.Path] = []
-
-    async def start(self) -> None:
-        self.starts += 1
-        told = {
-            "id": f"{self.name}/{self.starts}",
-            "seed": self.chance.getrandbits(32),
-            "rate": self.rate,
-            "file": str(self.file),
-            "boot": "lab",
-            "mutant": self.play.mutant,
-            "acts": 25.0,
-            "server": f"127.0.0.1:{self.play.port}",
-            "coordinators": [str(relay.address) for relay in self.ways.values()],
-        }
-        with self.log.open("ab") as log:
-            self.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "foxspread.lab.processes.lease_holder_process",
-                json.dumps(told),
-                stdout=log,
-                stderr=log,
-            )
-
-    async def end(self) -> None:
-        if self.process is not None and self.process.returncode is None:
-            self.process.kill()
-            await self.process.wait()
-
-    async def befalls(self, kind: str, lasts: float) -> None:
-        self.play.befell.append(f"{self.play.now():.3f} {kind} {self.name} {lasts:.3f}")
-        if kind == "stall":
-            self.process.send_signal(signal.SIGSTOP)
-            await self.play.wait(lasts)
-            with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(signal.SIGCONT)
-        elif kind == "restart":
-            await self.end()
-            if self.file.exists():
-                copy = self.file.with_suffix(f".{self.starts}")
-                shutil.copy(self.file, copy)
-                self.older.append(copy)
-                what = self.chance.choice(("kept", "wiped", "older"))
-                if what == "wiped":
-                    self.file.unlink()
-                elif what == "older":
-                    shutil.copy(self.chance.choice(self.older), self.file)
-            await self.start()
-        else:
-            for relay in self.ways.values():
-                relay.begin(kind)
-            try:
-                await self.play.wait(lasts)
-            finally:
-                for relay in self.ways.values():
-                    relay.end(kind)
 
 
-class Sidecars:
-    """With parts of sidecars (`car`); `whole` has its own cars, and judges by what its servers saw."""
+class FleetRulesRun:
+    """With lease holders alone; `end_to_end` has whole sidecars, and judges by what its servers saw.
 
-    car_kind = Car
-    car_faults = CAR_FAULTS
+    `script`: what strikes whom, when, for how long; `every`: seconds between drawn faults in the mean;
+    `versions`: how many are put at the most; `puts`: when, and with how many hand-offs at the most; none:
+    whenever, as drawn."""
+
+    process_kind: type[SidecarProcess] = SidecarProcess
+    sidecar_faults: tuple[str, ...] = SIDECAR_FAULTS
 
     def __init__(
         self,
         seed: int,
-        cars: int = 12,
+        sidecars: int = 12,
         seconds: float = 20.0,
         lease: float = 1.5,
         every: float = 0.8,
@@ -144,170 +104,184 @@
         alone: float = 3.0,
         puts: tuple[tuple[float, int], ...] = (),
     ) -> None:
-        self.scenario = Scenario(
-            "agreed", seconds=seconds, settle=1.0 if mutant else 10.0, lease=lease, alone=alone
-        )
+        settle = MUTANT_SETTLE_SECONDS if mutant else SETTLE_SECONDS
+        self.scenario = Scenario("agreed", seconds=seconds, settle=settle, lease=lease, alone=alone)
         self.play = Play(self.scenario, seed)
         self.fleet: Fleet = self.play.fleet
+        self.events: list[str] = self.play.befell
         self.chance, self.seed, self.every, self.faulty = self.fleet.rng("agreed"), seed, every, faults
-        self.count, self.acts, self.befell = cars, [], self.play.befell
-        self.cars: dict[str, Car] = {}
-        self.mutant, self.script = mutant, script  # when, what, which car or coordinator, for how long
-        self.versions = versions  # at the most
-        self.puts = puts  # when, and with how many hand-offs at the most; none: whenever, as drawn
+        self.count, self.mutant, self.versions, self.puts = sidecars, mutant, versions, puts
+        self.script = [ScriptedFault(*row) for row in script]
+        self.sidecars: dict[str, SidecarProcess] = {}
+        self.acts: list[Act] = []
         self.texts: dict[int, bytes] = {}
-        self.begun = time.monotonic()
+        self.began = time.monotonic()
 
     def now(self) -> float:
-        return time.monotonic() - self.begun
+        """Seconds from the start of the run."""
+        return time.monotonic() - self.began
 
     async def wait(self, seconds: float) -> None:
+        """So long, or until faults end."""
         end = self.now() + seconds
         while self.now() < min(end, self.scenario.seconds):
             await asyncio.sleep(min(0.05, max(0.0, end - self.now())))
 
-    async def _server(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        name = (await reader.readline()).decode().strip()
+    # What differs with whole sidecars
+
+    def random_version(self, chance: random.Random, count: int) -> bytes:
+        """A text for the writer to put."""
+        return random_version(chance, self.count, count)
+
+    async def before_start(self) -> None:
+        """Before the sidecars start: the server listens."""
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    async def after_end(self) -> None:
+        """After the sidecars have ended."""
+        self.server.close()
+
+    async def work(self) -> None:
+        """What goes on beside writers and faults."""
+
+    def behind(self, row: dict[str, Any]) -> list[str]:
+        """Who doesn't act on what is in force, by a coordinator's answer to GET /course."""
+        recent = {
+            act.holder_id.partition("/")[0]: act for act in self.acts if act.at > self.now() - RECENT_SECONDS
+        }
+        wanted = (Mode.IN_FORCE.value, row.get(codec.PHASE))
+        return [
+            name
+            for name in self.sidecars
+            if name not in recent or (recent[name].line.mode, recent[name].line.phase) != wanted
+        ]
+
+    # The run
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        holder_id = (await reader.readline()).decode().strip()
         with contextlib.suppress(ConnectionError, ValueError):
             while line := await reader.readline():
-                row = json.loads(line)
-                self.acts.append(
-                    Act(self.now(), name, row["mode"], row["phase"], row["settled"], row["rules"])
-                )
+                self.acts.append(Act(self.now(), holder_id, ActLine(**json.loads(line))))
         writer.close()
 
-    async def _write(self) -> None:
-        """One writer of versions, through any coordinator."""
+    async def _write_versions(self) -> None:
+        """One writer, through any coordinator."""
         chance, count = self.fleet.rng("writer"), 0
         while self.now() < self.scenario.seconds:
             count += 1
-            text = self.drawn(chance, count)
+            text = self.random_version(chance, count)
             if self.puts:
                 if count > len(self.puts):
                     return
-                at, hands = self.puts[count - 1]
+                at, hand_offs = self.puts[count - 1]
                 await self.wait(at - self.now())
-                # One text with another limit: a roll-back is the first one's content again.
-                text = self.drawn(self.fleet.rng("puts"), 0)
-                text = re.sub(rb"(?m)^max_hand_offs = \d+", b"max_hand_offs = %d" % hands, text, count=1)
-            body = json.dumps(
-                {"content": text.decode(), "request": f"v{count}", "who": "lab", "even_so": True}
-            ).encode()
-            while self.now() < self.scenario.seconds:
-                with contextlib.suppress(*ERRORS):
-                    relay = self.fleet.writers[chance.choice(self.fleet.names)]
-                    if (await call(relay.address, "POST", "/rules", body, 1.5)).value.get("status") in (
-                        "done",
-                        "refused",
-                    ):
-                        break
-                await asyncio.sleep(0.05)
+                text = self._limited_version(hand_offs)
+            await self._put(chance, text, f"v{count}")
             if not self.puts:
                 last = self.versions <= count
                 await self.wait(self.scenario.seconds if last else chance.uniform(0.5, 2.5))
 
-    def drawn(self, chance: random.Random, count: int) -> bytes:
-        return drawn(chance, self.count, count)
-
-    async def opened(self) -> None:
-        """Before the sidecars start."""
-        self.server = await asyncio.start_server(self._server, "127.0.0.1", 0)
-        self.port = self.server.sockets[0].getsockname()[1]
-
-    async def ended(self) -> None:
-        """After the sidecars."""
-        self.server.close()
+    def _limited_version(self, hand_offs: int) -> bytes:
+        """One text with another limit each time: a roll-back is the first one's content again."""
+        text = self.random_version(self.fleet.rng("puts"), 0)
+        return re.sub(rb"(?m)^max_hand_offs = \d+", b"max_hand_offs = %d" % hand_offs, text, count=1)
 
-    async def work(self) -> None:
-        """What goes on beside writers and faults."""
+    async def _put(self, chance: random.Random, text: bytes, request: str) -> None:
+        """Until it is answered."""
+        body = {"content": text.decode(), "request": request, "who": "lab", "even_so": True}
+        data = json.dumps(body).encode()
+        while self.now() < self.scenario.seconds:
+            with contextlib.suppress(*ERRORS):
+                relay = self.fleet.writers[chance.choice(self.fleet.names)]
+                reply = await call(relay.address, "POST", "/rules", data, ANNOUNCE_TIMEOUT)
+                if reply.value.get("status") in ("done", "refused"):
+                    return
+            await asyncio.sleep(0.05)
 
-    async def _scripted(self) -> None:
-        async def one(at: float, kind: str, name: str, lasts: float) -> None:
-            await self.wait(at)
-            if name in self.cars:
-                await self.cars[name].befalls(kind, lasts)
+    async def _follow_script(self) -> None:
+        async def strike(fault: ScriptedFault) -> None:
+            await self.wait(fault.at)
+            if fault.target in self.sidecars:
+                await self.sidecars[fault.target].strike(fault.kind, fault.lasts)
             else:
-                await self.play.befalls(kind, lasts, await self.play.whom(name))
+                name = await self.play.whom(fault.target)
+                await self.play.befalls(fault.kind, fault.lasts, name)
 
-        await asyncio.gather(*(one(*row) for row in self.script))
+        await asyncio.gather(*(strike(fault) for fault in self.script))
 
-    async def _befall(self) -> None:
+    async def _draw_faults(self) -> None:
+        """One at a time for each sidecar and coordinator."""
         tasks: list[asyncio.Task] = []
         busy: set[str] = set()
         while self.faulty and self.now() < self.scenario.seconds - 1.0:
             await self.wait(self.chance.expovariate(1 / self.every))
-            lasts = min(0.1 + self.chance.expovariate(0.7), 4.0)
-            if self.chance.random() < 0.3:
+            lasts = min(0.1 + self.chance.expovariate(0.7), MAX_FAULT_SECONDS)
+            if self.chance.random() < NODE_FAULT_SHARE:
                 name, kind = self.chance.choice(self.fleet.names), self.chance.choice(NODE_FAULTS)
-                what = self.play.befalls(kind, lasts, name)
+                fault = self.play.befalls(kind, lasts, name)
             else:
-                name = self.chance.choice(sorted(self.cars))
-                what = self.cars[name].befalls(self.chance.choice(self.car_faults), lasts)
+                name = self.chance.choice(sorted(self.sidecars))
+                fault = self.sidecars[name].strike(self.chance.choice(self.sidecar_faults), lasts)
             if name in busy:
-                what.close()
+                fault.close()
                 continue
             busy.add(name)
-            task = asyncio.create_task(what)
+            task = asyncio.create_task(fault)
             task.add_done_callback(lambda _, name=name: busy.discard(name))
             tasks.append(task)
         await asyncio.gather(*tasks)
 
-    async def run(self) -> Told:
+    async def run(self) -> RunResult:
+        """The whole run, and its judgment."""
         async with self.fleet:
-            await self.opened()
+            await self.before_start()
             try:
-                for at in range(self.count):
-                    self.cars[f"s{at}"] = self.car_kind(self, f"s{at}")
-                for car in self.cars.values():
-                    for name, relay in car.ways.items():
-                        self.fleet.more.setdefault(name, []).append(relay)
-                        relay.target = self.fleet.children[name].address
-                self.begun = self.play.begun = time.monotonic()
-                await asyncio.gather(*(car.start() for car in self.cars.values()))
-                await asyncio.gather(self._write(), self._befall(), self._scripted(), self.work())
-                last = await self._settled()
-                await self._texts()
+                await self._start_sidecars()
+                await asyncio.gather(
+                    self._write_versions(), self._draw_faults(), self._follow_script(), self.work()
+                )
+                unsettled = await self._await_settled()
+                await self._fetch_texts()
             finally:
-                for car in self.cars.values():
-                    await car.end()
-                await self.ended()
-        return self.judged(last)
+                for sidecar in self.sidecars.values():
+                    await sidecar.end()
+                await self.after_end()
+        return self.judged(unsettled)
+
+    async def _start_sidecars(self) -> None:
+        for number in range(self.count):
+            self.sidecars[f"s{number}"] = self.process_kind(self, f"s{number}")
+        for sidecar in self.sidecars.values():
+            for name, relay in sidecar.relays.items():
+                self.fleet.more.setdefault(name, []).append(relay)
+                relay.target = self.fleet.children[name].address
+        self.began = self.play.begun = time.monotonic()
+        await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars.values()))
 
     async def _course(self) -> dict[str, Any]:
-        found = []
+        """GET /course, of the leader where one answers."""
+        rows = []
         for child in self.fleet.children.values():
             with contextlib.suppress(*ERRORS):
-                found.append((await call(child.address, "GET", "/course", within=1.0)).value)
-        return max(found, key=lambda row: (row["leads"], row["phase"]), default={})
+                rows.append((await call(child.address, "GET", "/course", within=1.0)).value)
+        return max(rows, key=lambda row: (row["leads"], row[codec.PHASE]), default={})
 
-    async def _settled(self) -> str:
-        """ "" once all act on the version that is in force."""
-        end, told = time.monotonic() + self.scenario.settle, ""
+    async def _await_settled(self) -> str:
+        """Empty once all act on the version that is in force; else what is missing."""
+        end, missing = time.monotonic() + self.scenario.settle, ""
         while time.monotonic() < end:
             row = await self._course()
             behind = self.behind(row)
-            over = (
-                row
-                and not row["next"]
-                and (row["settled"] == row["latest"] or str(row["latest"]) in row["withdrawn"])
-            )
-            if over and not behind:
+            if _rollout_over(row) and not behind:
                 return ""
-            steps = {each: row.get(each) for each in ("phase", "next", "settled", "latest")}
-            told = f"not settled after {self.scenario.settle:g} s: {steps}, behind {behind}"
+            steps = {key: row.get(key) for key in (codec.PHASE, codec.ANNOUNCED, codec.IN_FORCE, "latest")}
+            missing = f"not settled after {self.scenario.settle:g} s: {steps}, behind {behind}"
             await asyncio.sleep(0.1)
-        return told
+        return missing
 
-    def behind(self, row: dict[str, Any]) -> list[str]:
-        """Who doesn't act on what is in force."""
-        recent = {act.car.partition("/")[0]: act for act in self.acts if act.at > self.now() - 1.0}
-        return [
-            name
-            for name in self.cars
-            if name not in recent or (recent[name].mode, recent[name].phase) != ("settled", row.get("phase"))
-        ]
-
-    async def _texts(self) -> None:
+    async def _fetch_texts(self) -> None:
         row = await self._course()
         for number in range(1, row.get("latest", 0) + 1):
             for child in self.fleet.children.values():
@@ -316,36 +290,52 @@
                     self.texts[number] = value["version"]["content"].encode()
                     break
 
-    def judged(self, last: str) -> Told:
-        found = Told(self.seed, [last] if last else [], self.befell)
-        forced: dict[int, tuple[float, int]] = {}  # by phase: the first act on a version alone, and which
+    # The judgment
+
+    def judged(self, unsettled: str) -> RunResult:
+        """By the acts that the server saw."""
+        result = RunResult(self.seed, [unsettled] if unsettled else [], self.events)
+        first_acts: dict[int, Act] = {}  # by phase: the first act on a version alone
         for act in self.acts:
-            found.acts[act.mode] = found.acts.get(act.mode, 0) + 1
-            if act.mode == "settled" and act.phase not in forced:
-                forced[act.phase] = (act.at, act.settled)
-        steps = sorted(forced.items())
-        found.versions = len({number for _, number in forced.values()})
+            result.acts[act.line.mode] = result.acts.get(act.line.mode, 0) + 1
+            if act.line.mode == Mode.IN_FORCE.value:
+                first_acts.setdefault(act.line.phase, act)
+        steps = sorted(first_acts.items())
+        result.versions = len({act.line.in_force for act in first_acts.values()})
         for act in self.acts:
             known = [
-                (at, number) for phase, (at, number) in steps if at + LATE < act.at and phase > act.phase
+                first for phase, first in steps if first.at + LATE_SECONDS < act.at and phase > act.line.phase
             ]
-            if not known or act.mode == "settled" and known[-1][1] == act.settled:
-                continue
-            since, number = known[-1]
-            rules = content(self.texts[number]).rules
-            for path, text in compatibility.against(act.rules, rules):
-                ago = act.at - since
-                if not path.endswith(".") and compatibility.key_of(path).kind is Kind.SWITCH:
-                    found.worst[path] = max(found.worst.get(path, 0.0), ago)
-                    if ago <= self.scenario.lease * 1.02 + LATE:
-                        continue
-                if len(found.faults) < 5:
-                    found.faults.append(
-                        f"{act.car} {act.mode} in phase {act.phase}, {ago:.3f} s after the first act on "
-                        f"version {number}, which is in force: {path} {text}"
-                    )
-        return found
-
-
-async def played(seed: int, **told: Any) -> Told:
-    return await Sidecars(seed, **told).run()
+            if known and (
+                act.line.mode != Mode.IN_FORCE.value or known[-1].line.in_force != act.line.in_force
+            ):
+                self._judge_act(result, act, known[-1])
+        return result
+
+    def _judge_act(self, result: RunResult, act: Act, first: Act) -> None:
+        """An act after the first one on a version of a later phase."""
+        number, after = first.line.in_force, act.at - first.at
+        rules = parse_version(self.texts[number]).rules
+        for path, text in compatibility.violations(act.line.rules, rules):
+            if compatibility.is_switch(path):
+                longest = result.longest_violations.get(path, 0.0)
+                result.longest_violations[path] = max(longest, after)
+                if after <= self.scenario.lease * DRIFT + LATE_SECONDS:
+                    continue
+            if len(result.faults) < MAX_FAULTS:
+                result.faults.append(
+                    f"{act.holder_id} {act.line.mode} in phase {act.line.phase}, {after:.3f} s after the "
+                    f"first act on version {number}, which is in force: {path} {text}"
+                )
+
+
+def _rollout_over(row: dict[str, Any]) -> bool:
+    """Whether the latest version is in force, or withdrawn, by an answer to GET /course."""
+    if not row or row[codec.ANNOUNCED]:
+        return False
+    return row[codec.IN_FORCE] == row["latest"] or str(row["latest"]) in row["withdrawn"]
+
+
+async def played(seed: int, **options: Any) -> RunResult:
+    """One run; options as of `FleetRulesRun`."""
+    return await FleetRulesRun(seed, **options).run()
--- a/foxspread/lab/processes/lease_holder_process.py
+++ b/foxspread/lab/processes/lease_holder_process.py
@@ -1,6 +1,6 @@
-"""A sidecar's part in agreed rules as a process of its own: a `Holder`, the `Follower` beside it, and acts.
-Not a whole sidecar: what it would hand off is a line to a stand-in server, with the rules that it acted
-under, written right after `may` said yes.
+"""A lease holder as a process of its own: a `LeaseHolder`, the `LeaseClient` beside it, and acts. Not a whole
+sidecar: what that would send on is a line to a stand-in server, with the rules that it acted under, written
+right after `may_act` said yes.
 
     python -m foxspread.lab.processes.lease_holder_process JSON
 """
@@ -11,74 +11,110 @@
 import pathlib
 import random
 import sys
+from dataclasses import asdict, dataclass
 from typing import Any
 
-from foxspread.fleet_rules.version_content import content
-from foxspread.fleet_rules.lease_client import Follower
-from foxspread.fleet_rules.lease_holder import Holder, Kept, Mode
 from foxspread.config import address
 from foxspread.consensus.clock import Clock
+from foxspread.fleet_rules import codec
+from foxspread.fleet_rules.lease_client import LeaseClient
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
+from foxspread.fleet_rules.version_content import parse_version
 
+DRIFT = 0.02
+SLEEP_SHARE = 0.1  # of acts, those that come late after their decision
+SLEEPS_A_SECOND = 2.0
 
-def check(text: bytes) -> Any:
-    return content(text)
 
+@dataclass(frozen=True)
+class Arguments:
+    """What the parent passes as JSON. `boot`: stands for the machine's; `acts`: a second."""
 
-async def main(told: dict[str, Any]) -> None:
-    chance, clock = random.Random(told["seed"]), Clock(told["rate"])
-    file, boot = pathlib.Path(told["file"]), told["boot"]
-    kept = Kept(**json.loads(file.read_text())) if file.exists() else None
-    # The clock of this process began anew: what was kept counts by the machine's, which went on.
-    kind = Holder
-    if told["mutant"]:
-        from foxspread.lab.processes.fleet_rules_mutants import MUTANTS
+    holder_id: str
+    seed: int
+    rate: float
+    file: str
+    boot: str
+    mutant: str
+    acts: float
+    server: str
+    coordinators: list[str]
 
-        kind = MUTANTS[told["mutant"]].broken.holder
-    holder = kind(clock() + clock.zero, told["id"], check, chance.random, 0.02, boot, kept)
-    _follower = Follower(  # kept: its tasks end with it
+    def encoded(self) -> str:
+        """For the command line."""
+        return json.dumps(asdict(self))
+
+
+@dataclass(frozen=True)
+class ActLine:
+    """An act as its server sees it, a line of JSON."""
+
+    mode: str
+    phase: int
+    in_force: int
+    rules: dict[str, Any]
+
+    def encoded(self) -> bytes:
+        """With the end of the line."""
+        return json.dumps(asdict(self)).encode() + b"\n"
+
+
+def holder_kind(mutant: str) -> type[LeaseHolder]:
+    """The sound one, or a mutant's."""
+    if not mutant:
+        return LeaseHolder
+    from foxspread.lab.processes.fleet_rules_mutants import MUTANTS
+
+    return MUTANTS[mutant].broken.holder
+
+
+def write_state(file: pathlib.Path, holder: LeaseHolder) -> None:
+    """Replaces the file at once, or not at all."""
+    new = file.with_suffix(".new")
+    new.write_text(codec.encode_alone_state(holder.alone_state()))
+    os.replace(new, file)
+
+
+async def main(arguments: Arguments) -> None:
+    """Acts until it is ended."""
+    chance, process_clock = random.Random(arguments.seed), Clock(arguments.rate)
+    file = pathlib.Path(arguments.file)
+    restored = codec.decode_alone_state(file.read_text()) if file.exists() else None
+
+    def clock() -> float:
+        # This process's clock began anew: what was kept counts by the machine's, which went on.
+        return process_clock() + process_clock.zero
+
+    kind = holder_kind(arguments.mutant)
+    holder = kind(clock(), arguments.holder_id, parse_version, chance.random, DRIFT, arguments.boot, restored)
+    _client = LeaseClient(  # kept: its tasks end with it
         holder,
-        lambda: clock() + clock.zero,
-        [address(each, "at") for each in told["coordinators"]],
+        clock,
+        [address(each, "coordinators") for each in arguments.coordinators],
         chance.random,
-        lambda _: keep(file, holder),
+        lambda _: write_state(file, holder),
     )
-    where = address(told["server"], "server")
-    _, writer = await asyncio.open_connection(where.host, where.port)
-    writer.write(f"{told['id']}\n".encode())
+    server = address(arguments.server, "server")
+    _, writer = await asyncio.open_connection(server.host, server.port)
+    writer.write(f"{arguments.holder_id}\n".encode())
     while True:
-        await asyncio.sleep(chance.expovariate(told["acts"]))
-        decided = holder.acting(clock() + clock.zero)
-        if chance.random() < 0.1:
-            await asyncio.sleep(chance.expovariate(2.0))
-        line = (
-            json.dumps(
-                {
-                    "mode": decided.mode.value,
-                    "phase": decided.phase,
-                    "settled": holder.settled,
-                    "rules": decided.rules,
-                }
-            ).encode()
-            + b"\n"
-        )
-        if decided.mode is not Mode.NONE and holder.may(clock() + clock.zero, decided):
+        await asyncio.sleep(chance.expovariate(arguments.acts))
+        decided = holder.effective(clock())
+        if chance.random() < SLEEP_SHARE:
+            await asyncio.sleep(chance.expovariate(SLEEPS_A_SECOND))
+        line = act_line(decided, holder).encoded()  # made before the look: it takes a while
+        if decided.mode is not Mode.NONE and holder.may_act(clock(), decided):
             writer.write(line)
             await writer.drain()
 
 
-def keep(file: pathlib.Path, holder: Holder) -> None:
-    kept = holder.kept()
-    aside = file.with_suffix(".new")
-    aside.write_text(
-        json.dumps(
-            {"boot": kept.boot, "settled": kept.settled, "alone": kept.alone, "alone_until": kept.alone_until}
-        )
-    )
-    os.replace(aside, file)
+def act_line(decided: EffectiveRules, holder: LeaseHolder) -> ActLine:
+    """An act under what was decided."""
+    return ActLine(decided.mode.value, decided.phase, holder.in_force, decided.rules)
 
 
 if __name__ == "__main__":
     try:
-        asyncio.run(main(json.loads(sys.argv[1])))
+        asyncio.run(main(Arguments(**json.loads(sys.argv[1]))))
     except (KeyboardInterrupt, ConnectionError):
         pass
--- a/foxspread/lab/processes/singleton_explorer.py
+++ b/foxspread/lab/processes/singleton_explorer.py
@@ -1,11 +1,11 @@
-"""One duty, two instances, one receiver that knows tokens and one that knows none, looked at whole up to a
-depth: from a state, time may go on by a tick, any message may be the next to arrive or never, an instance may
-ask, look, act, be stopped between its look and its act, crash and start anew; the leader may give the duty,
-take it for lost without reason, and free it when its time has come. `Registry`, `Owner` and `Guard` are the
-ones of the product. Breadth first, so the first fault found is the shortest.
+"""Small cases of a singleton role, looked at whole up to a depth: one role, two instances, one receiver that
+knows fencing tokens and one that knows none. From a state, time may go on by a tick, any message may be the
+next to arrive or never, an instance may ask, decide, act, be stopped between its decision and its act, crash
+and start anew; the leader may assign the role, suspect its holder without reason, and free it when its time
+has come. `LeaseTable`, `RoleLeaseHolder` and `FencingGuard` are the ones of the product.
 
 Invariants:
-    one_acts   no act under a token after one under a higher, for acts that are not stopped after their look
+    one_acts   no act under a token after one under a higher, for acts that are not stopped after the decision
     fenced     the receiver obeys no token after a higher one
     once       no irreversible effect comes twice
     intended   none comes before its intent is written
@@ -16,22 +16,33 @@
 """
 
 import copy
-import time
-from collections.abc import Iterator
+from collections.abc import Hashable, Iterator
 from dataclasses import dataclass, field
 
-from foxspread.singleton.fencing import Guard
-from foxspread.singleton.lease_holder import DutyAsk, Given, Owner
-from foxspread.singleton.lease_table import Did, Free, Intend, Lose, Registry, Take, Tell, Yield
-from foxspread.lab.processes import singleton_simulation as broken
-
-DUTY = "d"
-LEASE = 2.0
+from foxspread.lab.processes import singleton_mutants, state_search
+from foxspread.lab.processes.state_search import SearchResult, Transition
+from foxspread.singleton.fencing import FencingGuard
+from foxspread.singleton.lease_holder import RoleLeaseGrant, RoleLeaseHolder, RoleLeaseRequest
+from foxspread.singleton.lease_table import (
+    AbandonIntent,
+    AssignRole,
+    CompleteIntent,
+    FreeRole,
+    IntentState,
+    LeaseTable,
+    RecordIntent,
+    ReleaseRole,
+    SingletonRole,
+    SuspectHolder,
+)
+
+ROLE = "d"
+LEASE = 2.0  # ticks
 
 
 @dataclass(frozen=True)
 class Case:
-    """Bounds: how often what may happen in a run."""
+    """Bounds: how often each thing may happen in a run, how deep, and how many states."""
 
     ticks: int = 3
     asks: int = 2
@@ -57,258 +68,318 @@
 
 
 @dataclass
-class Kinds:
-    """Of the parts; broken ones in their place."""
+class Parts:
+    """Kinds of the parts; broken ones in their place. `delay`: ticks from a suspicion until the role is
+    free."""
 
-    owner: type[Owner] = Owner
-    guard: type[Guard] = Guard
-    pause: float = LEASE
+    holder: type[RoleLeaseHolder] = RoleLeaseHolder
+    guard: type[FencingGuard] = FencingGuard
+    delay: float = LEASE
     repeats: bool = False
 
 
+@dataclass(frozen=True)
+class PendingAnswer:
+    """A grant on its way."""
+
+    instance: str
+    request: RoleLeaseRequest
+    grant: RoleLeaseGrant
+
+
+@dataclass(frozen=True)
+class StoppedAct:
+    """An instance that was stopped between its decision and its act; an empty `intent` is an order."""
+
+    instance: str
+    token: int
+    intent: str = ""
+
+
 @dataclass
 class State:
+    """`orders`: tokens on their way to the receiver. `completions`: intents that were done, with tokens, and
+    the write of it is on its way. `acted`, `obeyed`: the highest tokens that were."""
+
     now: float
-    registry: Registry
-    owners: dict[str, Owner]
-    guard: Guard
+    table: LeaseTable
+    holders: dict[str, RoleLeaseHolder]
+    guard: FencingGuard
     disk: dict[str, int]
-    answers: tuple[tuple[str, DutyAsk, Given], ...] = ()  # under way
-    orders: tuple[int, ...] = ()  # tokens under way to the receiver
-    dids: tuple[tuple[int, str], ...] = ()  # intents that were done, and the word of it is under way
-    armed: tuple[tuple[str, int, str], ...] = ()  # stopped between look and act: instance, token, intent
-    lost_at: float = 0.0
-    acted: int = 0  # the highest token that was acted under
+    answers: tuple[PendingAnswer, ...] = ()
+    orders: tuple[int, ...] = ()
+    completions: tuple[tuple[int, str], ...] = ()
+    stopped: tuple[StoppedAct, ...] = ()
+    suspected_at: float = 0.0
+    acted: int = 0
     obeyed: int = 0
-    paid: tuple[str, ...] = ()
+    effects: tuple[str, ...] = ()
     counts: dict[str, int] = field(default_factory=dict)
 
-
-@dataclass
-class Found:
-    states: int
-    depth: int
-    whole: bool  # there are no more states within the case's bounds
-    seconds: float
-    fault: str = ""
-    path: tuple[str, ...] = ()
+    def role(self) -> SingletonRole | None:
+        """The role as the table has it."""
+        return self.table.roles.get(ROLE)
 
 
 def cloned(state: State) -> State:
+    """A state that shares nothing that changes."""
     twin = copy.copy(state)
-    twin.registry = Registry()
-    twin.registry.restore(state.registry.saved())
-    twin.owners = {}
-    for id, owner in state.owners.items():
-        twin.owners[id] = again = copy.copy(owner)
-        again.held, again.gone, again.yields = dict(owner.held), dict(owner.gone), dict(owner.yields)
-        again.wanted = set(owner.wanted)
+    twin.table = LeaseTable()
+    twin.table.restore(state.table.saved())
+    twin.holders = {}
+    for id, holder in state.holders.items():
+        twin.holders[id] = again = copy.copy(holder)
+        again.roles, again.released_tokens = dict(holder.roles), dict(holder.released_tokens)
+        again.unconfirmed_releases = dict(holder.unconfirmed_releases)
+        again.requested_back = set(holder.requested_back)
     twin.disk = dict(state.disk)
     twin.guard = copy.copy(state.guard)
-    twin.guard.known = None if state.guard.known is None else dict(state.guard.known)
-    twin.guard.keep = twin.disk.__setitem__
+    known = state.guard.highest_tokens
+    twin.guard.highest_tokens = None if known is None else dict(known)
+    twin.guard.persist = twin.disk.__setitem__
     twin.counts = dict(state.counts)
     return twin
 
 
-def key_of(state: State) -> tuple:
-    owners = tuple(
-        (id, tuple(each.held.items()), tuple(each.gone.items()), tuple(each.yields.items()))
-        for id, each in state.owners.items()
+def key_of(state: State) -> Hashable:
+    """What makes two states the same."""
+    holders = tuple(
+        (
+            id,
+            tuple(holder.roles.items()),
+            tuple(holder.released_tokens.items()),
+            tuple(holder.unconfirmed_releases.items()),
+        )
+        for id, holder in state.holders.items()
+    )
+    known = state.guard.highest_tokens
+    answers = tuple(
+        (each.instance, each.request.sent_at, each.request.released, tuple(each.grant.tokens.items()))
+        for each in state.answers
     )
-    known = None if state.guard.known is None else tuple(state.guard.known.items())
     return (
         state.now,
-        state.registry.saved(),
-        owners,
-        known,
+        state.table.saved(),
+        holders,
+        None if known is None else tuple(known.items()),
         tuple(state.disk.items()),
-        tuple((id, ask.at, ask.yields, tuple(given.held.items())) for id, ask, given in state.answers),
+        answers,
         state.orders,
-        state.dids,
-        state.armed,
-        state.lost_at,
+        state.completions,
+        state.stopped,
+        state.suspected_at,
         state.acted,
         state.obeyed,
-        state.paid,
+        state.effects,
         tuple(sorted(state.counts.items())),
     )
 
 
-class Explorer:
-    def __init__(self, case: Case, kinds: Kinds | None = None) -> None:
-        self.case, self.kinds = case, kinds or Kinds()
-
-    def owner(self, id: str, now: float) -> Owner:
-        return self.kinds.owner(now, id, (DUTY,), lambda: 0.5, 0.0)
+def without(rows: tuple, index: int) -> tuple:
+    """All rows but one."""
+    return rows[:index] + rows[index + 1 :]
 
-    def first(self) -> State:
-        disk: dict[str, int] = {}
-        owners = {each: self.owner(each, 0.0) for each in ("a/1", "b/1")}
-        return State(0.0, Registry(), owners, self.kinds.guard({}, disk.__setitem__), disk)
 
-    def next(self, state: State) -> Iterator[tuple[str, State, str]]:
-        """What may happen: its name, the state after it, and a fault where one shows."""
-        case, counts = self.case, state.counts
-        duty = state.registry.duties.get(DUTY)
+class Model:
+    """What may happen in a case. Each generator yields the transitions of one kind."""
 
-        def left(what: str) -> bool:
-            return counts.get(what, 0) < getattr(case, what)
+    def __init__(self, case: Case, parts: Parts | None = None) -> None:
+        self.case, self.parts = case, parts or Parts()
 
-        def after(what: str = "") -> State:
-            twin = cloned(state)
-            if what:
-                twin.counts[what] = twin.counts.get(what, 0) + 1
-            return twin
+    def _holder(self, id: str, now: float) -> RoleLeaseHolder:
+        return self.parts.holder(now, id, (ROLE,), lambda: 0.5, 0.0)
 
-        if left("ticks"):
-            twin = after("ticks")
+    def first(self) -> State:
+        """Two instances, and nobody holds the role."""
+        disk: dict[str, int] = {}
+        holders = {id: self._holder(id, 0.0) for id in ("a/1", "b/1")}
+        return State(0.0, LeaseTable(), holders, self.parts.guard({}, disk.__setitem__), disk)
+
+    def _left(self, state: State, what: str) -> bool:
+        """Whether this may happen once more."""
+        return state.counts.get(what, 0) < getattr(self.case, what)
+
+    def _after(self, state: State, what: str = "") -> State:
+        """A state to be changed, in which this has happened once more."""
+        twin = cloned(state)
+        if what:
+            twin.counts[what] = twin.counts.get(what, 0) + 1
+        return twin
+
+    def transitions(self, state: State) -> Iterator[Transition[State]]:
+        """All that may happen in a state."""
+        if self._left(state, "ticks"):
+            twin = self._after(state, "ticks")
             twin.now += 1.0
-            yield "a tick", twin, ""
-        # The leader's steps.
-        if duty is None or not duty.owner:
-            for id in state.owners if left("takes") else ():
-                twin = after("takes")
-                twin.registry.obey(Take(DUTY, id, (duty.token if duty else 0) + 1))
-                yield f"{id} is given it", twin, ""
-        elif not duty.lost:
-            twin = after()
-            twin.registry.obey(Lose(DUTY, duty.token))
-            twin.lost_at = state.now
-            yield "taken for lost", twin, ""
-        elif state.now - state.lost_at >= self.kinds.pause:
-            twin = after()
-            twin.registry.obey(Free(DUTY, duty.token))
-            yield "freed", twin, ""
-        # Instances.
-        for id, owner in state.owners.items():
-            if left("asks"):
-                twin = after("asks")
-                ask = DutyAsk(id, state.now, (DUTY,), tuple(owner.yields.items()))
-                for name, token in ask.yields:
-                    twin.registry.obey(Yield(name, token))
-                given = Given(LEASE, 0.0, twin.registry.held_by(id))
-                twin.answers = (*state.answers, (id, ask, given))
-                yield f"{id} asks", twin, ""
-            token = owner.may(state.now, DUTY)
-            if not token:
+            yield Transition("a tick", twin)
+        yield from self._leader_steps(state)
+        for id in state.holders:
+            yield from self._instance_steps(state, id)
+        yield from self._wake_ups(state)
+        yield from self._crashes(state)
+        yield from self._answers(state)
+        yield from self._orders(state)
+        yield from self._completions(state)
+        yield from self._receiver_steps(state)
+
+    def _leader_steps(self, state: State) -> Iterator[Transition[State]]:
+        role = state.role()
+        if role is None or not role.holder:
+            for id in state.holders if self._left(state, "takes") else ():
+                twin = self._after(state, "takes")
+                twin.table.apply(AssignRole(ROLE, id, (role.token if role else 0) + 1))
+                yield Transition(f"{id} is given it", twin)
+        elif not role.suspected:
+            twin = self._after(state)
+            twin.table.apply(SuspectHolder(ROLE, role.token))
+            twin.suspected_at = state.now
+            yield Transition("taken for lost", twin)
+        elif state.now - state.suspected_at >= self.parts.delay:
+            twin = self._after(state)
+            twin.table.apply(FreeRole(ROLE, role.token))
+            yield Transition("freed", twin)
+
+    def _instance_steps(self, state: State, id: str) -> Iterator[Transition[State]]:
+        if self._left(state, "asks"):
+            yield self._ask(state, id)
+        token = state.holders[id].fencing_token(state.now, ROLE)
+        if not token:
+            return
+        if self._left(state, "yields"):
+            twin = self._after(state, "yields")
+            twin.holders[id].release(ROLE)
+            yield Transition(f"{id} gives it up", twin)
+        if self._left(state, "acts"):
+            yield self._act(self._after(state, "acts"), id, token)
+            if self._left(state, "stalls"):
+                twin = self._after(state, "acts")
+                twin.counts["stalls"] = state.counts.get("stalls", 0) + 1
+                twin.stopped = (*state.stopped, StoppedAct(id, token))
+                yield Transition(f"{id} is stopped after its look", twin)
+        if self._left(state, "intents"):
+            twin = self._after(state, "intents")
+            intent = f"{id}-{state.counts.get('intents', 0)}"
+            if not twin.table.apply(RecordIntent(ROLE, token, intent, "pay", 2.0)):
+                twin.stopped = (*state.stopped, StoppedAct(id, token, intent))
+                yield Transition(f"{id} intends {intent}", twin)
+        yield from self._open_intents(state, id, token)
+
+    def _ask(self, state: State, id: str) -> Transition[State]:
+        twin = self._after(state, "asks")
+        released = tuple(state.holders[id].unconfirmed_releases.items())
+        request = RoleLeaseRequest(id, state.now, (ROLE,), released)
+        for name, token in released:
+            twin.table.apply(ReleaseRole(name, token))
+        grant = RoleLeaseGrant(LEASE, 0.0, twin.table.tokens_of(id))
+        twin.answers = (*state.answers, PendingAnswer(id, request, grant))
+        return Transition(f"{id} asks", twin)
+
+    def _open_intents(self, state: State, id: str, token: int) -> Iterator[Transition[State]]:
+        """Intents of an earlier holder that the present one finds open."""
+        role = state.role()
+        for intent, row in list(role.intents.items()) if role else ():
+            if row.state != IntentState.OPEN or row.token >= token:
                 continue
-            if left("yields"):
-                twin = after("yields")
-                twin.owners[id].give_up(DUTY)
-                yield f"{id} gives it up", twin, ""
-            if left("acts"):
-                yield self._act(after("acts"), id, token, "")
-                if left("stalls"):
-                    twin = after("acts")
-                    twin.counts["stalls"] = counts.get("stalls", 0) + 1
-                    twin.armed = (*state.armed, (id, token, ""))
-                    yield f"{id} is stopped after its look", twin, ""
-            if left("intents"):
-                twin = after("intents")
-                intent = f"{id}-{counts.get('intents', 0)}"
-                if not twin.registry.obey(Intend(DUTY, token, intent, "pay", 2.0)):
-                    twin.armed = (*state.armed, (id, token, intent))
-                    yield f"{id} intends {intent}", twin, ""
-            for intent, row in list(duty.intents.items()) if duty else ():
-                if row.state == "open" and row.token < token:
-                    twin = after()
-                    if self.kinds.repeats:
-                        yield self._effect(twin, id, intent)
-                    else:
-                        twin.registry.obey(Tell(DUTY, token, intent))
-                        yield f"{id} finds {intent} open", twin, ""
-        for id, token, intent in state.armed:
-            twin = after()
-            twin.armed = tuple(each for each in state.armed if each != (id, token, intent))
-            if not intent:  # it wakes and sends, whatever the time
-                twin.orders = (*state.orders, token)
-                yield f"{id} wakes, and sends by token {token}", twin, ""
-            elif state.owners[id].may(state.now, DUTY) == token:
+            twin = self._after(state)
+            if self.parts.repeats:
                 yield self._effect(twin, id, intent)
-        if left("crashes"):
-            for id in state.owners:
-                twin = after("crashes")
-                del twin.owners[id]
-                again = f"{id[0]}/{int(id[2:]) + 1}"
-                twin.owners[again] = self.owner(again, state.now)
-                twin.answers = tuple(each for each in state.answers if each[0] != id)
-                twin.armed = tuple(each for each in state.armed if each[0] != id)
-                yield f"{id} crashes", twin, ""
-        # What arrives.
-        for at, (id, ask, given) in enumerate(state.answers):
-            twin = after()
-            twin.answers = state.answers[:at] + state.answers[at + 1 :]
-            twin.owners[id].answered(state.now, ask, given)
-            able = [each for each, owner in twin.owners.items() if owner.may(state.now, DUTY)]
-            yield f"an answer reaches {id}", twin, f"exclusive: {able} may act" if len(able) > 1 else ""
-        for at, token in enumerate(state.orders):
-            twin = after()
-            twin.orders = state.orders[:at] + state.orders[at + 1 :]
-            fault = ""
-            if twin.guard.admit(DUTY, token):
+            else:
+                twin.table.apply(AbandonIntent(ROLE, token, intent))
+                yield Transition(f"{id} finds {intent} open", twin)
+
+    def _wake_ups(self, state: State) -> Iterator[Transition[State]]:
+        for stopped in state.stopped:
+            id, token = stopped.instance, stopped.token
+            twin = self._after(state)
+            twin.stopped = tuple(each for each in state.stopped if each != stopped)
+            if not stopped.intent:  # it wakes and sends, whatever the time
+                twin.orders = (*state.orders, token)
+                yield Transition(f"{id} wakes, and sends by token {token}", twin)
+            elif state.holders[id].fencing_token(state.now, ROLE) == token:
+                yield self._effect(twin, id, stopped.intent)
+
+    def _crashes(self, state: State) -> Iterator[Transition[State]]:
+        if not self._left(state, "crashes"):
+            return
+        for id in state.holders:
+            twin = self._after(state, "crashes")
+            del twin.holders[id]
+            again = f"{id[0]}/{int(id[2:]) + 1}"
+            twin.holders[again] = self._holder(again, state.now)
+            twin.answers = tuple(each for each in state.answers if each.instance != id)
+            twin.stopped = tuple(each for each in state.stopped if each.instance != id)
+            yield Transition(f"{id} crashes", twin)
+
+    def _answers(self, state: State) -> Iterator[Transition[State]]:
+        for index, answer in enumerate(state.answers):
+            twin = self._after(state)
+            twin.answers = without(state.answers, index)
+            twin.holders[answer.instance].on_grant(state.now, answer.request, answer.grant)
+            able = [id for id, holder in twin.holders.items() if holder.fencing_token(state.now, ROLE)]
+            violation = f"exclusive: {able} may act" if len(able) > 1 else ""
+            yield Transition(f"an answer reaches {answer.instance}", twin, violation)
+
+    def _orders(self, state: State) -> Iterator[Transition[State]]:
+        for index, token in enumerate(state.orders):
+            twin = self._after(state)
+            twin.orders = without(state.orders, index)
+            violation = ""
+            if twin.guard.admit(ROLE, token):
                 if token < state.obeyed:
-                    fault = f"fenced: token {token} is obeyed after {state.obeyed}"
+                    violation = f"fenced: token {token} is obeyed after {state.obeyed}"
                 twin.obeyed = max(state.obeyed, token)
-            yield f"an order by token {token} arrives", twin, fault
-        for at, (token, intent) in enumerate(state.dids):
-            twin = after()
-            twin.dids = state.dids[:at] + state.dids[at + 1 :]
-            twin.registry.obey(Did(DUTY, token, intent))
-            yield f"{intent} is known to be done", twin, ""
-        if left("wipes"):
-            twin = after("wipes")
+            yield Transition(f"an order by token {token} arrives", twin, violation)
+
+    def _completions(self, state: State) -> Iterator[Transition[State]]:
+        for index, (token, intent) in enumerate(state.completions):
+            twin = self._after(state)
+            twin.completions = without(state.completions, index)
+            twin.table.apply(CompleteIntent(ROLE, token, intent))
+            yield Transition(f"{intent} is known to be done", twin)
+
+    def _receiver_steps(self, state: State) -> Iterator[Transition[State]]:
+        if self._left(state, "wipes"):
+            twin = self._after(state, "wipes")
             twin.disk = {}
-            twin.guard = self.kinds.guard(None, twin.disk.__setitem__)
-            yield "the receiver is wiped", twin, ""
-        if state.guard.known is None:
-            twin = after()
-            twin.guard.learn(state.registry.tokens())
-            yield "the receiver learns", twin, ""
-
-    def _act(self, twin: State, id: str, token: int, fault: str) -> tuple[str, State, str]:
+            twin.guard = self.parts.guard(None, twin.disk.__setitem__)
+            yield Transition("the receiver is wiped", twin)
+        if state.guard.highest_tokens is None:
+            twin = self._after(state)
+            twin.guard.learn(state.table.tokens())
+            yield Transition("the receiver learns", twin)
+
+    def _act(self, twin: State, id: str, token: int) -> Transition[State]:
+        violation = ""
         if token < twin.acted:
-            fault = f"one_acts: {id} acts by token {token} after {twin.acted}"
+            violation = f"one_acts: {id} acts by token {token} after {twin.acted}"
         twin.acted = max(twin.acted, token)
         twin.orders = (*twin.orders, token)
-        return f"{id} acts by token {token}", twin, fault
+        return Transition(f"{id} acts by token {token}", twin, violation)
 
-    def _effect(self, twin: State, id: str, intent: str) -> tuple[str, State, str]:
-        fault = f"once: {intent} comes again" if intent in twin.paid else ""
-        row = twin.registry.duties[DUTY].intents.get(intent)
+    def _effect(self, twin: State, id: str, intent: str) -> Transition[State]:
+        violation = f"once: {intent} comes again" if intent in twin.effects else ""
+        row = twin.table.roles[ROLE].intents.get(intent)
         if row is None:
-            fault = f"intended: {intent} comes before its intent"
+            violation = f"intended: {intent} comes before its intent"
         else:
-            twin.dids = (*twin.dids, (row.token, intent))
-        twin.paid = (*twin.paid, intent)
-        return f"{id} does {intent}", twin, fault
-
-    def run(self) -> Found:
-        begun, first = time.monotonic(), self.first()
-        seen, front, depth = {key_of(first)}, [(first, ())], 0
-        while front and depth < self.case.depth and len(seen) < self.case.states:
-            depth, after = depth + 1, []
-            for state, path in front:
-                for name, twin, fault in self.next(state):
-                    if fault:
-                        return Found(len(seen), depth, False, time.monotonic() - begun, fault, (*path, name))
-                    if (key := key_of(twin)) not in seen:
-                        seen.add(key)
-                        after.append((twin, (*path, name)))
-            front = after
-        return Found(len(seen), depth, not front, time.monotonic() - begun)
-
-
-# By name: parts that are broken, and the case that shows it.
+            twin.completions = (*twin.completions, (row.token, intent))
+        twin.effects = (*twin.effects, intent)
+        return Transition(f"{id} does {intent}", twin, violation)
+
+
+# By name: the case that shows it, and the parts that are broken.
 MUTANTS = {
-    "no_pause": ("orders", Kinds(pause=0.0)),
-    "unguarded": ("orders", Kinds(guard=broken.Unguarded)),
-    "from_answer": ("orders", Kinds(owner=broken.FromAnswer)),
-    "repeats": ("intents", Kinds(repeats=True)),
-    "takes_back": ("yields", Kinds(owner=broken.TakesBack)),
-    "trusting": ("wiped", Kinds(guard=broken.Trusting)),
+    "no_pause": ("orders", Parts(delay=0.0)),
+    "unguarded": ("orders", Parts(guard=singleton_mutants.Unguarded)),
+    "from_answer": ("orders", Parts(holder=singleton_mutants.FromAnswer)),
+    "repeats": ("intents", Parts(repeats=True)),
+    "takes_back": ("yields", Parts(holder=singleton_mutants.TakesBack)),
+    "trusting": ("wiped", Parts(guard=singleton_mutants.Trusting)),
 }
 
 
-def explored(name: str, mutant: str = "") -> Found:
-    return Explorer(CASES[name], MUTANTS[mutant][1] if mutant else None).run()
+def explored(name: str, mutant: str = "") -> SearchResult:
+    """A case looked at whole, with sound parts or those of a mutant."""
+    case = CASES[name]
+    model = Model(case, MUTANTS[mutant][1] if mutant else None)
+    return state_search.search(model.first(), key_of, model.transitions, case.depth, case.states)
--- a/foxspread/singleton/__init__.py
+++ b/foxspread/singleton/__init__.py
@@ -1,1 +1,1 @@
-"""Work on behalf of the fleet, one owner at a time; one that wakes up late does no harm."""
+"""Singleton roles: work on behalf of the fleet that one instance does at a time, under a fencing token."""
--- a/foxspread/singleton/lease_holder.py
+++ b/foxspread/singleton/lease_holder.py
@@ -1,91 +1,107 @@
-"""An instance's part: which duties it owns, under which tokens, until when. Without I/O: time and chance are
-handed in. Whoever acts asks `may` at the moment of the act, and sends the token with it: an instance may be
-stopped even after that, so what it does is refused where it arrives (`guard`).
+"""An instance's side of singleton roles: which it holds, under which fencing tokens, until when. No I/O.
+
+Whoever acts asks `fencing_token` at the moment of the act, and sends the token with it: an instance may be
+stopped even after that, so what it does is refused where it arrives (`singleton.fencing`). How a lease is
+renewed and counted: `foxspread.leases`.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-RETRY_LEAST, RETRY_MOST = 0.05, 2.0  # seconds between two tries where no answer comes
+from foxspread.leases import DEFAULT_DRIFT, LeaseRenewal
 
 
 @dataclass(frozen=True)
-class DutyAsk:
-    """`offers`: duties that it would do. `yields`: those that it does nothing more for, with their tokens."""
+class RoleLeaseRequest:
+    """`offers`: roles that the instance would take. `released`: those that it does nothing more for, with
+    their tokens. `sent_at`: by its own clock."""
 
     instance: str
-    at: float  # by its own clock
+    sent_at: float
     offers: tuple[str, ...]
-    yields: tuple[tuple[str, int], ...] = ()
+    released: tuple[tuple[str, int], ...] = ()
 
 
 @dataclass(frozen=True)
-class Given:
-    """By what was committed after the ask came: what it owns, with tokens; of these, what is wanted back."""
+class RoleLeaseGrant:
+    """By what was committed after the request came: `tokens` of the roles that the instance holds, and of
+    these, which are `requested_back`. `lease`: seconds from when the request was sent."""
 
-    lease: float  # seconds from the asking
+    lease: float
     drift: float
-    held: dict[str, int]
-    wanted: tuple[str, ...] = ()
+    tokens: dict[str, int]
+    requested_back: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True)
+class HeldRole:
+    """A role that an instance holds: its fencing token, and until when the lease may be relied on."""
+
+    token: int
+    until: float
+
+
+NOT_HELD = HeldRole(0, 0.0)
 
 
-class Owner:
-    """`id` is of one start: what another start owned is not this one's."""
+class RoleLeaseHolder(LeaseRenewal):
+    """`offers`: names of the roles that this instance would take."""
 
     def __init__(
-        self, now: float, id: str, offers: Iterable[str], chance: Callable[[], float], drift: float = 0.02
+        self,
+        now: float,
+        holder_id: str,
+        offers: Iterable[str],
+        chance: Callable[[], float],
+        drift: float = DEFAULT_DRIFT,
     ) -> None:
-        self.id, self.offers, self.chance, self.drift = id, tuple(offers), chance, drift
-        self.held: dict[str, tuple[int, float]] = {}  # token, and until when
-        self.gone: dict[str, int] = {}  # the highest token that it has given up
-        self.yields: dict[str, int] = {}  # said until it is known to be heard
-        self.wanted: set[str] = set()  # to be given up as soon as nothing of it is under way
-        self.next_ask, self.tries = now, 0
-
-    def may(self, now: float, duty: str) -> int:
-        """Its token, 0 where it may not act for that duty now."""
-        token, until = self.held.get(duty, (0, 0.0))
-        return token if now < until else 0
-
-    def duties(self, now: float) -> list[str]:
-        return [each for each in self.held if self.may(now, each)]
-
-    def give_up(self, duty: str) -> None:
-        """Nothing is done for it from here on."""
-        self.wanted.discard(duty)
-        if duty in self.held:
-            token, _ = self.held.pop(duty)
-            self.gone[duty] = max(token, self.gone.get(duty, 0))
-            self.yields[duty] = token
-
-    def wake_at(self) -> float:
-        return self.next_ask
-
-    def soon(self, now: float) -> None:
-        self.next_ask, self.tries = now, 0
-
-    def ask(self, now: float) -> DutyAsk | None:
-        if now < self.next_ask:
+        super().__init__(now, holder_id, chance, drift)
+        self.offers = tuple(offers)
+        self.roles: dict[str, HeldRole] = {}
+        self.released_tokens: dict[str, int] = {}  # the highest token of each role that it has released
+        self.unconfirmed_releases: dict[str, int] = {}  # said until they are known to be committed
+        self.requested_back: set[str] = set()  # to be released as soon as nothing of it is under way
+
+    def fencing_token(self, now: float, role: str) -> int:
+        """The token to act under, 0 where it may not act for that role now."""
+        held = self.roles.get(role, NOT_HELD)
+        return held.token if now < held.until else 0
+
+    def active_roles(self, now: float) -> list[str]:
+        """Those that it may act for now."""
+        return [role for role in self.roles if self.fencing_token(now, role)]
+
+    def release(self, role: str) -> None:
+        """Nothing is done for it from here on, and another may have it at once."""
+        self.requested_back.discard(role)
+        if role in self.roles:
+            token = self.roles.pop(role).token
+            self.released_tokens[role] = max(token, self.released_tokens.get(role, 0))
+            self.unconfirmed_releases[role] = token
+
+    def request_due(self, now: float) -> RoleLeaseRequest | None:
+        """The request to send now, None where none is due."""
+        if not self._request_due(now):
             return None
-        self.tries += 1
-        pause = min(RETRY_MOST, RETRY_LEAST * 2 ** min(self.tries, 6))
-        self.next_ask = now + pause * (0.5 + self.chance())
-        return DutyAsk(self.id, now, self.offers, tuple(self.yields.items()))
-
-    def answered(self, now: float, ask: DutyAsk, given: Given) -> None:
-        self.tries, self.drift = 0, max(self.drift, given.drift)
-        self.next_ask = now + given.lease / 3 * (0.8 + 0.4 * self.chance())
-        for duty, token in given.held.items():
-            if token <= self.gone.get(duty, 0):
-                continue  # given up since it asked, or another answer came late
-            old, until = self.held.get(duty, (0, 0.0))
-            if token >= old:
-                until = until if token == old else 0.0
-                self.held[duty] = (token, max(until, self._until(ask.at, now, given.lease)))
-        for duty, token in list(self.yields.items()):
-            if (duty, token) in ask.yields and given.held.get(duty) != token:
-                del self.yields[duty]
-        self.wanted |= {each for each in given.wanted if each in self.held}
-
-    def _until(self, asked: float, now: float, lease: float) -> float:
-        return asked + lease * (1 - self.drift)
+        released = tuple(self.unconfirmed_releases.items())
+        return RoleLeaseRequest(self.holder_id, now, self.offers, released)
+
+    def on_grant(self, now: float, request: RoleLeaseRequest, grant: RoleLeaseGrant) -> None:
+        """The answer to `request`. What was released meanwhile is not taken back by an answer that is
+        late."""
+        self._granted(now, grant.lease, grant.drift)
+        until = self._expiry(request.sent_at, now, grant.lease)
+        for role, token in grant.tokens.items():
+            if token > self.released_tokens.get(role, 0):
+                self._hold(role, HeldRole(token, until))
+        for role, token in list(self.unconfirmed_releases.items()):
+            if (role, token) in request.released and grant.tokens.get(role) != token:
+                del self.unconfirmed_releases[role]
+        self.requested_back |= {role for role in grant.requested_back if role in self.roles}
+
+    def _hold(self, role: str, granted: HeldRole) -> None:
+        held = self.roles.get(role, NOT_HELD)
+        if granted.token > held.token:
+            self.roles[role] = HeldRole(granted.token, max(0.0, granted.until))
+        elif granted.token == held.token:
+            self.roles[role] = HeldRole(granted.token, max(held.until, granted.until))
--- a/foxspread/singleton/lease_manager.py
+++ b/foxspread/singleton/lease_manager.py
@@ -1,11 +1,12 @@
-"""A coordinator that gives leases on duties too, without I/O. Any member answers asks, on what was committed
-after they came; the one that leads takes the steps: give a duty to one that offers to do it, take it back
-from one that says nothing, move it.
-
-Why two never own one duty at a time: after `Lose` no answer holds its token, for each is a read as of after
-its ask. So a lease under it was asked for before `Lose` was committed, and has run out a lease after this
-member saw that, drift allowed for; only then comes `Free`, and a later `Take`. One that leads anew counts
-from when it saw it itself.
+"""A coordinator that grants leases on singleton roles too. No I/O.
+
+Any member answers requests, on what was committed after they came; the leader takes the steps: assign a role
+to an instance that offers to take it, free it from one that says nothing, move it.
+
+Why two instances never hold one role at a time: after `SuspectHolder` no answer holds its token, for each
+is a read as of after its request. So a lease under it was asked for before `SuspectHolder` was committed,
+and has expired a lease after this member saw that, drift allowed for; only then comes `FreeRole`, and a
+later `AssignRole`. A new leader counts from when it saw it itself.
 """
 
 import zlib
@@ -14,266 +15,290 @@
 
 import msgspec
 
-from foxspread.fleet_rules.rollout import Course
-from foxspread.fleet_rules.lease_manager import ASKS_MOST, GATHER, STRAY_MOST, Steward
 from foxspread.consensus.coordinator import Answer, Status
-from foxspread.consensus.core import Refused, Role
+from foxspread.consensus.core import Role
 from foxspread.consensus.messages import Row, Snapshot, encoded
-from foxspread.singleton import lease_table
-from foxspread.singleton.lease_holder import DutyAsk, Given
-from foxspread.singleton.lease_table import DutyCommand, Free, Lose, Registry, Take, Wish, Yield, name_of
-
-CALM = 10  # leases in which nothing was lost or moved, before a duty is moved to where it belongs
-AGAIN = 0.5  # a step that was proposed and not seen by then is proposed again
+from foxspread.fleet_rules.lease_manager import MAX_UNADMITTED, LeaseManager
+from foxspread.fleet_rules.pending_requests import PendingRequests, Proposals
+from foxspread.fleet_rules.rollout import Rollout
+from foxspread.singleton.lease_holder import RoleLeaseGrant, RoleLeaseRequest
+from foxspread.singleton.lease_table import (
+    AssignRole,
+    FreeRole,
+    LeaseTable,
+    PreferHolder,
+    ReleaseRole,
+    RoleCommand,
+    SingletonRole,
+    SuspectHolder,
+    instance_name,
+)
+
+QUIET_LEASES = 10  # in which nothing was lost or moved, before a role is moved to where it belongs
+OFFER_LEASES = 3  # after which an instance that says nothing more is forgotten
+FREE_CHECK_SECONDS = 0.1  # between two looks at a role that nobody holds, or whose holder is suspected
+
+
+class RoleOffer(Row, frozen=True):
+    """What an instance said last: roles that it would take, and those that it released, with tokens."""
 
-
-class Offer(Row, frozen=True):
     offers: tuple[str, ...]
-    yields: tuple[tuple[str, int], ...]
+    released: tuple[tuple[str, int], ...]
+
 
+class RoleOffers(Row, frozen=True, tag="offers"):
+    """From a member to the leader: what instances said to it."""
 
-class Offers(Row, frozen=True, tag="offers"):
-    """From a member to the one that leads."""
+    by_instance: dict[str, RoleOffer]
 
-    heard: dict[str, Offer]
 
+class SingletonRollout(Rollout):
+    """The replicated state of fleet rules, and the table of singleton roles beside it."""
 
-class DutyCourse(Course):
     def __init__(self) -> None:
         super().__init__()
-        self.duties = Registry()
+        self.table = LeaseTable()
 
     def apply(self, body: bytes) -> Any:
+        """A command of the log, of either kind."""
         try:
-            command = msgspec.msgpack.decode(body, type=DutyCommand)
+            command = msgspec.msgpack.decode(body, type=RoleCommand)
         except msgspec.ValidationError:
             return super().apply(body)
-        return self.duties.obey(command)
+        return self.table.apply(command)
 
-    def saved_more(self) -> bytes:
-        return self.duties.saved()
+    def saved_extension(self) -> bytes:
+        """The table, for the snapshot."""
+        return self.table.saved()
 
-    def restore_more(self, data: bytes) -> None:
-        self.duties.restore(data)
+    def restore_extension(self, data: bytes) -> None:
+        """The table, from the snapshot."""
+        self.table.restore(data)
+
+
+@dataclass(frozen=True)
+class HeardOffer:
+    """An offer, and when it came."""
+
+    at: float
+    offer: RoleOffer
 
 
 @dataclass
-class DutyLead:
-    """What one that leads keeps, from its election on."""
+class RoleLeaderState:
+    """What a leader knows of instances, from its election on."""
 
     term: int
     since: float
-    heard: dict[str, tuple[float, Offer]] = field(default_factory=dict)
-    proposed: dict[str, float] = field(default_factory=dict)
-    stirred: float = 0.0  # when a duty last changed hands
+    offers: dict[str, HeardOffer] = field(default_factory=dict)  # by instance
+    proposals: Proposals = field(default_factory=Proposals)  # by role
+    last_change: float = 0.0  # when a role last changed hands
 
 
-def rank(duty: str, name: str) -> int:
-    """Rendezvous hashing (D. Thaler and C. Ravishankar 1998): the highest is to have it."""
-    return zlib.crc32(f"{duty}:{name}".encode())
+def rank(role: str, name: str) -> int:
+    """Rendezvous hashing (D. Thaler and C. Ravishankar, "Using name-based mappings to increase hit rates"
+    (1998)): the instance with the highest rank is to hold the role."""
+    return zlib.crc32(f"{role}:{name}".encode())
 
 
-class Chief(Steward):
-    versions_kind = DutyCourse
+class RoleLeaseManager(LeaseManager):
+    """Grants leases on rules and on roles, by one log."""
 
-    def __init__(self, now: float, *told: Any, **more: Any) -> None:
-        self.duty_asks: dict[int, tuple[DutyAsk | None, float]] = {}  # None: asks for tokens only
-        self.duty_reading: dict[int, list[int]] = {}
-        self.duty_news: dict[str, Offer] = {}
-        self.lost_at: dict[tuple[str, int], float] = {}  # when this member saw that it was lost
-        self.duty_lead: DutyLead | None = None
-        super().__init__(now, *told, **more)
-        self._seen(now)
+    versions_kind = SingletonRollout
 
-    def _seen(self, now: float) -> None:
-        """Of duties that a snapshot has as lost nobody knows since when."""
-        self.lost_at = {(name, duty.token): now for name, duty in self.duties.duties.items() if duty.lost}
+    def __init__(self, now: float, *arguments: Any, **options: Any) -> None:
+        self.role_requests = PendingRequests()  # None in place of a request: asks for tokens only
+        self.unreported_offers: dict[str, RoleOffer] = {}
+        self.suspected_at: dict[tuple[str, int], float] = {}  # when this member saw `SuspectHolder` applied
+        self.role_lead: RoleLeaderState | None = None
+        super().__init__(now, *arguments, **options)
+        self._reset_suspected(now)
+
+    def _reset_suspected(self, now: float) -> None:
+        """Of holders that a snapshot has as suspected nobody knows since when."""
+        self.suspected_at = {
+            (name, role.token): now for name, role in self.table.roles.items() if role.suspected
+        }
 
     @property
-    def duties(self) -> Registry:
-        return self.versions.duties
+    def table(self) -> LeaseTable:
+        """The replicated table, as this member has it."""
+        return self.versions.table
 
     # What instances and receivers ask
 
-    def ask_duties(self, now: float, token: int, ask: DutyAsk | None) -> None:
-        """Answered by a `Given`, or by all tokens where a receiver asks (None)."""
-        if len(self.duty_asks) >= ASKS_MOST:
-            return self.answers.append(Answer(token, Status.REFUSED, f"{ASKS_MOST} asks wait already"))
-        self.duty_asks[token] = (ask, now + self.patience)
-        if ask is not None and len(self.duty_news) < STRAY_MOST:
-            self.duty_news[ask.instance] = Offer(ask.offers, ask.yields)
-        self.flush_at = min(self.flush_at, now + GATHER)
-
-    def write_duty(self, now: float, token: int, command: DutyCommand) -> None:
-        """An owner's write, or a person's; answered with what stands against it, "" where it is done."""
+    def request_roles(self, now: float, token: int, request: RoleLeaseRequest | None) -> None:
+        """Answered by a `RoleLeaseGrant`, or by the tokens of all roles where a receiver asks (None)."""
+        if not self._enqueue(now, self.role_requests, token, request):
+            return
+        if request is not None and len(self.unreported_offers) < MAX_UNADMITTED:
+            self.unreported_offers[request.instance] = RoleOffer(request.offers, request.released)
+
+    def write_role(self, now: float, token: int, command: RoleCommand) -> None:
+        """A holder's write, or a person's; answered with why it is refused, "" where it is done."""
         self._write(now, token, lambda: self.member.propose(now, encoded(command)))
 
     def left(self, token: int) -> None:
+        """Nobody waits for this call's answer any more."""
         super().left(token)
-        self.duty_asks.pop(token, None)
+        self.role_requests.remove(token)
 
     def _flush(self, now: float) -> None:
         super()._flush(now)
-        under_way = {each for tokens in self.duty_reading.values() for each in tokens}
-        if tokens := [each for each in self.duty_asks if each not in under_way]:
-            self.own_tokens -= 1
-            try:
-                self.member.read(now, self.own_tokens)
-                self.duty_reading[self.own_tokens] = tokens
-            except Refused:
-                for token in tokens:
-                    self._turned(token, "nobody leads")
-        news, self.duty_news = self.duty_news, {}
-        if self.duty_lead is not None:
-            self._offered(now, news)
-        elif news and self.member.leader:
-            self.member.note(now, self.member.leader, encoded(Offers(news)))
+        self._start_read(now, self.role_requests)
+        offers, self.unreported_offers = self.unreported_offers, {}
+        if self.role_lead is not None:
+            self._on_offers(now, offers)
+        elif offers and self.member.leader:
+            self.member.note(now, self.member.leader, encoded(RoleOffers(offers)))
 
     def _noted(self, now: float, sender: str, body: bytes) -> None:
         try:
-            offers = msgspec.msgpack.decode(body, type=Offers)
+            report = msgspec.msgpack.decode(body, type=RoleOffers)
         except msgspec.DecodeError:
             return super()._noted(now, sender, body)
-        if self.duty_lead is not None:
-            self._offered(now, offers.heard)
-
-    def _offered(self, now: float, news: dict[str, Offer]) -> None:
-        heard = self.duty_lead.heard
-        for instance, offer in news.items():
-            if instance in heard or len(heard) < STRAY_MOST:
-                heard[instance] = (now, offer)
+        if self.role_lead is not None:
+            self._on_offers(now, report.by_instance)
 
-    def _turned(self, token: int, why: str) -> None:
-        if self.duty_asks.pop(token, None) is not None:
-            self.answers.append(Answer(token, Status.ELSEWHERE, why, self.member.leader))
+    def _on_offers(self, now: float, offers: dict[str, RoleOffer]) -> None:
+        known = self.role_lead.offers
+        for instance, offer in offers.items():
+            if instance in known or len(known) < MAX_UNADMITTED:
+                known[instance] = HeardOffer(now, offer)
 
     def _read_done(self, now: float, token: int, holds: bool) -> bool:
-        tokens = self.duty_reading.pop(token, None)
+        tokens = self.role_requests.reads.pop(token, None)
         if tokens is None:
             return super()._read_done(now, token, holds)
         for each in tokens:
             if not holds:
-                self._turned(each, "it leads no more")
-            elif (waiting := self.duty_asks.pop(each, None)) is not None:
-                self.answers.append(Answer(each, Status.DONE, self.given(waiting[0]), self.member.leader))
+                self._reject(self.role_requests, each, "it leads no more")
+            elif (pending := self.role_requests.remove(each)) is not None:
+                answer = self.role_grant(pending.request)
+                self.answers.append(Answer(each, Status.DONE, answer, self.member.leader))
         return True
 
-    def given(self, ask: DutyAsk | None) -> Given | dict[str, int]:
-        if ask is None:
-            return self.duties.tokens()
-        held = self.duties.held_by(ask.instance)
-        wanted = tuple(each for each in held if self.duties.duties[each].wish)
-        return Given(self.terms.lease, self.terms.drift, held, wanted)
+    def role_grant(self, request: RoleLeaseRequest | None) -> RoleLeaseGrant | dict[str, int]:
+        """The answer to a request, by what this member has applied."""
+        if request is None:
+            return self.table.tokens()
+        tokens = self.table.tokens_of(request.instance)
+        requested_back = tuple(role for role in tokens if self.table.roles[role].preferred)
+        return RoleLeaseGrant(self.terms.lease, self.terms.drift, tokens, requested_back)
 
-    # Steps of the one that leads
+    # Steps of the leader
 
-    def _lead(self, now: float) -> None:
-        super()._lead(now)
+    def _take_steps(self, now: float) -> None:
+        super()._take_steps(now)
         member = self.member
         if member.role is not Role.LEADER:
-            self.duty_lead = None
+            self.role_lead = None
             return
-        if self.duty_lead is None or self.duty_lead.term != member.term:
-            self.duty_lead = DutyLead(member.term, now, stirred=now)
-        if member.applied < member.own_term_at or self.course.terms is None:
+        if self.role_lead is None or self.role_lead.term != member.term:
+            self.role_lead = RoleLeaderState(member.term, now, last_change=now)
+        if member.applied < member.own_term_at or self.rollout.terms is None:
             return
-        lead, lease = self.duty_lead, self.terms.runs_out(self.terms.lease)
-        for instance in [each for each, (at, _) in lead.heard.items() if now - at > 3 * lease]:
-            del lead.heard[instance]
-        for instance, (_, offer) in lead.heard.items():
-            for duty, token in offer.yields:
-                found = self.duties.duties.get(duty)
-                if found is not None and (found.owner, found.token) == (instance, token):
-                    self._step(now, duty, Yield(duty, token))
-        offered = {duty for _, offer in lead.heard.values() for duty in offer.offers}
-        for name in sorted(offered | self.duties.duties.keys()):
-            self._look_at(now, name, self.duties.duties.get(name) or lease_table.Duty(), lease)
-        if now - lead.stirred > CALM * lease:
-            self._settle(now, offered)
-
-    def _look_at(self, now: float, name: str, duty: lease_table.Duty, lease: float) -> None:
-        lead = self.duty_lead
-        if duty.lost:
-            if now - self.lost_at.get((name, duty.token), now) > self._pause(lease):
-                self._step(now, name, Free(name, duty.token))
-        elif duty.owner:
-            at, _ = lead.heard.get(duty.owner, (lead.since, None))
-            if now - at > lease:
-                self._step(now, name, Lose(name, duty.token))
-        elif not duty.paused and now - lead.since > lease / 2:  # those that offer were heard by then
-            if (to := self._next(now, name, duty, lease)) is not None:
-                self._step(now, name, Take(name, to, duty.token + 1))
-
-    def _pause(self, lease: float) -> float:
-        """Before the next owner, where the last one was lost without a word."""
+        lead = self.role_lead
+        for instance, heard in list(lead.offers.items()):
+            if now - heard.at > OFFER_LEASES * self.lease_expired_after:
+                del lead.offers[instance]
+        self._apply_releases(now, lead)
+        offered = {role for heard in lead.offers.values() for role in heard.offer.offers}
+        for name in sorted(offered | self.table.roles.keys()):
+            self._review_role(now, name, self.table.roles.get(name) or SingletonRole())
+        if now - lead.last_change > QUIET_LEASES * self.lease_expired_after:
+            self._rebalance(now, offered)
+
+    def _apply_releases(self, now: float, lead: RoleLeaderState) -> None:
+        for instance, heard in lead.offers.items():
+            for name, token in heard.offer.released:
+                role = self.table.roles.get(name)
+                if role is not None and (role.holder, role.token) == (instance, token):
+                    self._propose_for(now, name, ReleaseRole(name, token))
+
+    def _review_role(self, now: float, name: str, role: SingletonRole) -> None:
+        """Frees a role from a holder that says nothing, and assigns one that nobody holds."""
+        lead, lease = self.role_lead, self.lease_expired_after
+        if role.suspected:
+            if now - self.suspected_at.get((name, role.token), now) > self._reassignment_delay(lease):
+                self._propose_for(now, name, FreeRole(name, role.token))
+        elif role.holder:
+            heard = lead.offers.get(role.holder)
+            if now - (heard.at if heard else lead.since) > lease:
+                self._propose_for(now, name, SuspectHolder(name, role.token))
+        elif not role.paused and now - lead.since > lease / 2:  # those that offer were heard by then
+            if (instance := self._best_instance(now, name, role)) is not None:
+                self._propose_for(now, name, AssignRole(name, instance, role.token + 1))
+
+    def _reassignment_delay(self, lease: float) -> float:
+        """Seconds from `SuspectHolder` to `FreeRole`."""
         return lease
 
-    def _next(self, now: float, name: str, duty: lease_table.Duty, lease: float) -> str | None:
-        """Who is to have it: the one that is wished for, else whoever lost least, then by the hash."""
-        there = [
-            each
-            for each, (at, offer) in self.duty_lead.heard.items()
-            if now - at < lease and name in offer.offers
+    def _best_instance(self, now: float, name: str, role: SingletonRole) -> str | None:
+        """Who is to hold it: the preferred instance, else who lost fewest roles, then by the hash."""
+        available = [
+            instance
+            for instance, heard in self.role_lead.offers.items()
+            if now - heard.at < self.lease_expired_after and name in heard.offer.offers
         ]
-        if duty.wish in there:
-            return duty.wish
-        losses = self.duties.losses
-        return min(
-            there,
-            key=lambda each: (losses.get(name_of(each), 0), -rank(name, name_of(each)), each),
-            default=None,
-        )
-
-    def _settle(self, now: float, offered: set[str]) -> None:
-        """One duty at a time goes to where the hash has it."""
-        lease = self.terms.runs_out(self.terms.lease)
+        if role.preferred in available:
+            return role.preferred
+        losses = self.table.losses
+
+        def preference(instance: str) -> tuple[int, int, str]:
+            own_name = instance_name(instance)
+            return losses.get(own_name, 0), -rank(name, own_name), instance
+
+        return min(available, key=preference, default=None)
+
+    def _rebalance(self, now: float, offered: set[str]) -> None:
+        """Moves one role at a time to where the hash has it."""
         for name in sorted(offered):
-            duty = self.duties.duties.get(name)
-            if duty is None or duty.wish or not duty.owner or duty.lost or duty.paused:
+            role = self.table.roles.get(name)
+            if role is None or role.preferred or not role.holder or role.suspected or role.paused:
                 continue
-            best = self._next(now, name, duty, lease)
-            if best is not None and best != duty.owner:
-                return self._step(now, name, Wish(name, best))
+            best = self._best_instance(now, name, role)
+            if best is not None and best != role.holder:
+                return self._propose_for(now, name, PreferHolder(name, best))
 
-    def _step(self, now: float, duty: str, command: DutyCommand) -> None:
-        if self.duty_lead.proposed.get(duty, 0.0) > now:
-            return
-        try:
-            self.member.propose(now, encoded(command))
-            self.duty_lead.proposed[duty] = now + AGAIN
-        except Refused:
-            pass
+    def _propose_for(self, now: float, role: str, command: RoleCommand) -> None:
+        self.role_lead.proposals.propose(now, self.member, role, command)
 
     # What happens
 
     def tick(self, now: float) -> None:
+        """Time has passed: calls whose deadline has come are answered."""
         super().tick(now)
-        for token in [token for token, (_, until) in self.duty_asks.items() if until <= now]:
-            self._turned(token, "no majority answered in time")
+        self._reject_overdue(now, self.role_requests)
 
     def wake_at(self) -> float:
-        first = min((until for _, until in self.duty_asks.values()), default=float("inf"))
-        due = float("inf")
-        if self.duty_lead is not None and any(
-            each.lost or not each.owner for each in self.duties.duties.values()
+        """When `tick` is due."""
+        review = float("inf")
+        if self.role_lead is not None and any(
+            role.suspected or not role.holder for role in self.table.roles.values()
         ):
-            due = self.member.now + 0.1
-        return min(super().wake_at(), first, due)
+            review = self.member.now + FREE_CHECK_SECONDS
+        return min(super().wake_at(), self.role_requests.first_deadline(), review)
 
     def _restored(self, snapshot: Snapshot) -> None:
         super()._restored(snapshot)
-        self._seen(self.member.now)
+        self._reset_suspected(self.member.now)
 
     def _applied(self, index: int, entry: Any) -> None:
-        before = {name: (duty.token, duty.owner, duty.lost) for name, duty in self.duties.duties.items()}
+        before = {name: _assignment(role) for name, role in self.table.roles.items()}
         super()._applied(index, entry)
         now = self.member.now
-        for name, duty in self.duties.duties.items():
-            if before.get(name) != (duty.token, duty.owner, duty.lost):
-                if duty.lost:
-                    self.lost_at[name, duty.token] = now
-                else:
-                    self.lost_at.pop((name, duty.token), None)
-                if self.duty_lead is not None:
-                    self.duty_lead.proposed.pop(name, None)
-                    self.duty_lead.stirred = now
+        for name, role in self.table.roles.items():
+            if before.get(name) == _assignment(role):
+                continue
+            if role.suspected:
+                self.suspected_at[name, role.token] = now
+            else:
+                self.suspected_at.pop((name, role.token), None)
+            if self.role_lead is not None:
+                self.role_lead.proposals.applied(name)
+                self.role_lead.last_change = now
+
+
+def _assignment(role: SingletonRole) -> tuple[int, str, bool]:
+    return role.token, role.holder, role.suspected
