--- a/tests/fleet_rules/test_compatibility.py
+++ b/tests/fleet_rules/test_compatibility.py
@@ -3,12 +3,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.version_content import content
-from foxspread.fleet_rules.safety_check import drastic
-from foxspread.fleet_rules.compatibility import KEYS, Kind, NoRule
-from foxspread.fleet_rules.coordinator_process import check
 from foxspread.config import ConfigError
+from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules.compatibility import KEY_RULES, Merge, UnsupportedRuleError
+from foxspread.fleet_rules.coordinator_process import check_version
+from foxspread.fleet_rules.safety_check import unsafe_change
+from foxspread.fleet_rules.version_content import parse_version
 
 VALUES = {
     "siblings": st.integers(1, 9),
@@ -18,7 +18,9 @@
     "rows": st.dictionaries(
         st.sampled_from(["docs", "pay", "extra"]),
         st.tuples(
-            st.integers(1, 5), st.sampled_from(compatibility.STRICTER), st.sampled_from(["cell", "zone"])
+            st.integers(1, 5),
+            st.sampled_from(compatibility.EFFECTS_BY_STRICTNESS),
+            st.sampled_from(["cell", "zone"]),
         ),
         min_size=1,
     ),
@@ -43,9 +45,9 @@
     @settings(max_examples=150, deadline=None)
     @given(VERSIONS, VERSIONS)
     def test_what_lies_between_is_allowed_by_both(self, one: bytes, other: bytes) -> None:
-        old, new = content(one).rules, content(other).rules
-        between = compatibility.between(old, new)
-        switches = set(compatibility.switches(old, new))
+        old, new = parse_version(one).rules, parse_version(other).rules
+        between = compatibility.transition(old, new)
+        switches = set(compatibility.unbridged_changes(old, new))
         for rules in (old, new):
             for path, value in between.items():
                 if path not in switches:
@@ -54,7 +56,7 @@
             {path for path in between if path.endswith(".")},
             {path for path in old.keys() & new.keys() if path.endswith(".")},
         )
-        self.assertEqual(compatibility.between(old, old), old)
+        self.assertEqual(compatibility.transition(old, old), old)
 
     def test_the_stricter_of_two(self) -> None:
         for path, one, other, wanted in (
@@ -65,12 +67,12 @@
             ("settings.categories.docs.key_scope", "cell", "zone", "cell"),
         ):
             with self.subTest(path):
-                self.assertEqual(compatibility.stricter(compatibility.key_of(path), one, other), wanted)
+                self.assertEqual(compatibility.stricter(compatibility.rule_of(path), one, other), wanted)
 
     def test_every_key_says_how_it_is_seen_and_how_it_changes(self) -> None:
-        for path, key in KEYS.items():
-            self.assertTrue(key.seen, path)
-            self.assertIsInstance(key.kind, Kind)
+        for path, key in KEY_RULES.items():
+            self.assertTrue(key.contradiction, path)
+            self.assertIsInstance(key.merge, Merge)
 
     def test_refused_by_name(self) -> None:
         row = '[[settings.categories]]\nname = "docs"\nabandon_time_us = 5\n'
@@ -92,8 +94,8 @@
                 "'settings.limits.max_hand_offs': alone it is 4, which 1 doesn't allow",
             ),
         ):
-            with self.subTest(fault), self.assertRaisesRegex((ConfigError, NoRule), fault):
-                check(told.encode())
+            with self.subTest(fault), self.assertRaisesRegex((ConfigError, UnsupportedRuleError), fault):
+                check_version(told.encode())
 
 
 HEAD = '[settings]\n[[settings.categories]]\nname = "docs"\nabandon_time_us = 5\n'
@@ -111,26 +113,26 @@
 
 class Lists(unittest.TestCase):
     def test_between_two_lists_are_the_servers_that_are_the_same_in_both(self) -> None:
-        old = content(listed(("s.1", "a", 1), ("s2", "a", 1), ("s3", "b", 1))).rules
-        new = content(listed(("s.1", "a", 1), ("s2", "a", 2), ("s4", "b", 1))).rules
-        rows = {path for path in compatibility.between(old, new) if path.startswith(compatibility.SERVERS)}
+        old = parse_version(listed(("s.1", "a", 1), ("s2", "a", 1), ("s3", "b", 1))).rules
+        new = parse_version(listed(("s.1", "a", 1), ("s2", "a", 2), ("s4", "b", 1))).rules
+        rows = {path for path in compatibility.transition(old, new) if path.startswith(compatibility.SERVERS)}
         self.assertEqual({path for path in rows if path.endswith(".")}, {"lists.servers.s.1."})
-        self.assertEqual({compatibility._row(path) for path in rows}, {"lists.servers.s.1."})
-        self.assertEqual(compatibility.tree(old)["lists"]["servers"][0]["id"], "s.1")
-        self.assertEqual(compatibility.flat(compatibility.tree(old)), old)
+        self.assertEqual({compatibility.row_prefix(path) for path in rows}, {"lists.servers.s.1."})
+        self.assertEqual(compatibility.unflatten(old)["lists"]["servers"][0]["id"], "s.1")
+        self.assertEqual(compatibility.flatten(compatibility.unflatten(old)), old)
 
     def test_from_discovery_to_a_list_and_back_the_old_one_holds_until_the_new_is_in_force(self) -> None:
-        here, plain = content(listed(("s1", "a", 1))).rules, content(HEAD.encode()).rules
-        self.assertEqual(compatibility.between(here, plain), here)
-        self.assertEqual(compatibility.between(plain, here), plain)
-        self.assertEqual(compatibility.switches(plain, here), ["lists.source"])
+        here, plain = parse_version(listed(("s1", "a", 1))).rules, parse_version(HEAD.encode()).rules
+        self.assertEqual(compatibility.transition(here, plain), here)
+        self.assertEqual(compatibility.transition(plain, here), plain)
+        self.assertEqual(compatibility.unbridged_changes(plain, here), ["lists.source"])
 
     def test_taken_out_by_either_and_named_by_both(self) -> None:
-        def told(lists: str) -> compatibility.Flat:
-            return content(f"{HEAD}[lists]\n{lists}".encode()).rules
+        def told(lists: str) -> compatibility.FlatRules:
+            return parse_version(f"{HEAD}[lists]\n{lists}".encode()).rules
 
         one, other = told('taken_out = ["s2", "s1"]'), told('taken_out = ["s3"]\nonly = ["s4", "s5"]')
-        found = compatibility.between(one, other)
+        found = compatibility.transition(one, other)
         self.assertEqual(found["lists.taken_out"], ["s1", "s2", "s3"])
         self.assertEqual(found["lists.only"], ["s4", "s5"])
         for rules in (one, other):
@@ -139,24 +141,28 @@
         self.assertFalse(compatibility.allows("lists.only", "all", other))
 
     def test_without_an_alone_part_servers_can_be_taken_out(self) -> None:
-        check(f'{HEAD}[lists]\ntaken_out = ["s2"]\nonly = ["s1", "s2"]\n'.encode())
+        check_version(f'{HEAD}[lists]\ntaken_out = ["s2"]\nonly = ["s1", "s2"]\n'.encode())
 
     def test_alone_it_sends_to_what_is_named_for_it(self) -> None:
         servers = (("s1", "a", 1), ("s2", "a", 1))
-        nobody = content(listed(*servers, more=ALONE))
+        nobody = parse_version(listed(*servers, more=ALONE))
         self.assertFalse([path for path in nobody.alone if path.startswith(compatibility.SERVERS)])
         text = listed(*servers, more=ALONE).replace(b"[lists]", b'[lists]\nalone = ["s1"]')
-        one = content(text)
+        one = parse_version(text)
         self.assertEqual(
             {path for path in one.alone if path.startswith(compatibility.SERVERS) and path.endswith(".")},
             {"lists.servers.s1."},
         )
-        moved = content(listed(("s1", "a", 2), ("s2", "a", 1))).rules
-        self.assertTrue([fault for fault in compatibility.faults(one.alone, moved) if "s1.cell" in fault])
-        self.assertEqual([*compatibility.faults(one.alone, content(listed(("s1", "a", 1))).rules)], [])
-        out = content(listed(*servers).replace(b"[lists]", b'[lists]\ntaken_out = ["s1", "s2"]')).rules
+        moved = parse_version(listed(("s1", "a", 2), ("s2", "a", 1))).rules
+        self.assertTrue(
+            [fault for fault in compatibility.alone_violations(one.alone, moved) if "s1.cell" in fault]
+        )
+        self.assertEqual(
+            [*compatibility.alone_violations(one.alone, parse_version(listed(("s1", "a", 1))).rules)], []
+        )
+        out = parse_version(listed(*servers).replace(b"[lists]", b'[lists]\ntaken_out = ["s1", "s2"]')).rules
         self.assertEqual(
-            [*compatibility.faults(one.alone, out)],
+            [*compatibility.alone_violations(one.alone, out)],
             ["'lists.taken_out': alone 's1' may be sent to, which is taken out"],
         )
 
@@ -173,12 +179,12 @@
             ('alone = ["s1"]', "'lists.alone': without 'alone'"),
             ('taken = ["s1"]', "'lists.taken' is not known"),
         ):
-            with self.subTest(fault), self.assertRaisesRegex((ConfigError, NoRule), fault):
-                check(f"{HEAD}[lists]\n{lists}".encode())
+            with self.subTest(fault), self.assertRaisesRegex((ConfigError, UnsupportedRuleError), fault):
+                check_version(f"{HEAD}[lists]\n{lists}".encode())
 
     def test_what_may_not_have_been_meant(self) -> None:
         many = [(f"s{at}", "ab"[at % 2], 1) for at in range(8)]
-        old = content(listed(*many)).rules
+        old = parse_version(listed(*many)).rules
         for new, fault in (
             (listed(*many[:6]), ""),
             (listed(*many[:5]), "takes out 3 of 8 servers, 's5' among them"),
@@ -192,5 +198,5 @@
             (f"{HEAD}[lists]\nonly = []\n".encode(), "leaves no server"),
         ):
             with self.subTest(fault):
-                self.assertIn(fault, drastic(old, content(new).rules))
-                self.assertEqual(bool(fault), bool(drastic(old, content(new).rules)))
+                self.assertIn(fault, unsafe_change(old, parse_version(new).rules))
+                self.assertEqual(bool(fault), bool(unsafe_change(old, parse_version(new).rules)))
--- a/tests/fleet_rules/test_sidecar_rules.py
+++ b/tests/fleet_rules/test_sidecar_rules.py
@@ -15,14 +15,14 @@
 from typing import Any
 
 from foxspread import change
-from foxspread.fleet_rules.lease_holder import Mode
-from foxspread.fleet_rules.sidecar_rules import Ruled
 from foxspread.config import Address, NamedServer, address
 from foxspread.consensus.client import Client
+from foxspread.fleet_rules.lease_holder import Mode
+from foxspread.fleet_rules.sidecar_rules import ActiveRules
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.scenario import Scenario
-from foxspread.net.reasons import Reason
 from foxspread.model import ListedServer
+from foxspread.net.reasons import Reason
 from foxspread.net.sidecar import Clock, Sidecar
 from tests.helpers import LOOKUP, OK, StandIn, ask, configured, entry, on_loop, told
 
@@ -119,16 +119,16 @@
     """Says what it is told to say."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
-        self.ruled = Ruled(Mode.SETTLED, 2, settings)
+        self.ruled = ActiveRules(Mode.IN_FORCE, 2, settings)
         self.yes = True
 
-    def start(self, changed: Callable[[Ruled], None]) -> None:
+    def start(self, changed: Callable[[ActiveRules], None]) -> None:
         self.changed = changed
         changed(self.ruled)
 
     def present(self) -> bool:
         if not self.yes and self.ruled.settings is not None:
-            self.ruled = Ruled()
+            self.ruled = ActiveRules()
             self.changed(self.ruled)
         return self.yes
 
@@ -198,18 +198,18 @@
             self.assertEqual((list(it.places), list(it.facade.balancer.servers.ready)), (["s1"], ["s1"]))
             # Who comes new into a list has just started; alone it may be away, and is no new one after that.
             cold = it.facade.balancer.servers.known
-            for servers, mode, begun in ((rows, Mode.SETTLED, True), (rows[:1], Mode.ALONE, True)):
-                rules.changed(Ruled(mode, 3, config.decisions, servers))
+            for servers, mode, begun in ((rows, Mode.IN_FORCE, True), (rows[:1], Mode.ALONE, True)):
+                rules.changed(ActiveRules(mode, 3, config.decisions, servers))
                 self.assertEqual(cold["s2"].started > 0, begun)
             started = cold["s2"].started
-            rules.changed(Ruled(Mode.SETTLED, 3, config.decisions, rows))
+            rules.changed(ActiveRules(Mode.IN_FORCE, 3, config.decisions, rows))
             self.assertEqual((cold["s2"].started, cold["s1"].started), (started, 0.0))
             it.facade.newcomers = change.Newcomers()  # started alone: the rest is not new when it hears again
-            for servers, mode in ((rows[:1], Mode.ALONE), (rows, Mode.SETTLED)):
-                rules.changed(Ruled(mode, 4, config.decisions, servers))
+            for servers, mode in ((rows[:1], Mode.ALONE), (rows, Mode.IN_FORCE)):
+                rules.changed(ActiveRules(mode, 4, config.decisions, servers))
             self.assertEqual(cold["s2"].started, 0.0)
             # And discovery's again: what is there stays until it answers.
-            rules.changed(Ruled(Mode.SETTLED, 5, config.decisions))
+            rules.changed(ActiveRules(Mode.IN_FORCE, 5, config.decisions))
             self.assertEqual(sorted(it.places), ["s1", "s2"])
             self.assertIsNotNone(it.discovery.task)
             stop.set()
--- a/tests/fleet_rules/test_simulation.py
+++ b/tests/fleet_rules/test_simulation.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from foxspread.lab.processes import fleet_rules_mutants, fleet_rules_simulation
-from foxspread.lab.processes.fleet_rules_simulation import AgreedPlan, AgreedWorld
+from foxspread.lab.processes.fleet_rules_simulation import FleetRulesPlan, FleetRulesWorld
 
-SMALL = AgreedPlan(cars=6, seconds=8.0)
+SMALL = FleetRulesPlan(sidecars=6, seconds=8.0)
 CAUGHT_EARLY = ("checks_early", "newest", "forgets_closed", "loose_alone", "forces_at_once", "confirms_early")
 
 
@@ -43,27 +43,27 @@
             "every link loses": [(1.0, "loss", 7.0, "c1")],
         }.items():
             with self.subTest(name):
-                world = AgreedWorld(SMALL, 3)
-                for car in world.cars.values():
-                    car.start()
+                world = FleetRulesWorld(SMALL, 3)
+                for process in world.processes.values():
+                    process.start()
                 judge = world.follow(script)
                 self.assertEqual(judge.faults, [])
-                self.assertGreater(world.steps[-1][2], 1)
+                self.assertGreater(world.steps[-1].in_force, 1)
 
     def test_two_hundred_sidecars_and_every_link_at_a_fifth_of_loss(self) -> None:
-        world = AgreedWorld(replace(SMALL, cars=200), 5)
+        world = FleetRulesWorld(replace(SMALL, sidecars=200), 5)
         world.loss = 0.2  # of all that passes between coordinators, and to and from sidecars
-        for car in world.cars.values():
-            car.start()
+        for process in world.processes.values():
+            process.start()
         judge = world.follow([])
         self.assertEqual(judge.faults, [])
-        self.assertGreater(world.steps[-1][2], 2)
-        self.assertGreater(world.counts["settled"], 2000)
+        self.assertGreater(world.steps[-1].in_force, 2)
+        self.assertGreater(world.act_counts["settled"], 2000)
 
 
 class Mutants(unittest.TestCase):
     def test_caught_by_their_rules(self) -> None:
-        base = replace(AgreedPlan(), cars=8)
+        base = replace(FleetRulesPlan(), sidecars=8)
         for name in CAUGHT_EARLY:
             with self.subTest(name):
                 found = next(fleet_rules_mutants.caught(name, range(1, 60), base), None)
