--- /dev/null
+++ b/tests/orchard/replication/test_stored_data.py
@@ -0,0 +1,216 @@
+"""Disks of three voters that commit d26c70f wrote: later code reads every row of them, whole or with a
+write-ahead log (WAL) that is cut off or damaged. make_stored_data.py wrote them and voters-expected.json.
+"""
+
+import json
+import pathlib
+import shutil
+import tempfile
+from collections.abc import Mapping
+from typing import Any
+
+from testtools import TestCase
+
+from foxspread.orchard.configuration.items import (
+    LEASE,
+    MEMBERS,
+    NO_PAST,
+    REFUSED,
+    ROUTE,
+    SERVICE,
+    Item,
+    laid_out,
+    place_of,
+    services_of,
+)
+from foxspread.orchard.configuration.orders import digest_of_order, judged
+from foxspread.orchard.replication.acceptor import Acceptor, Saved
+from foxspread.orchard.replication.disk import Disk
+from tests.write_ahead_log import change_byte
+
+STORED = pathlib.Path(__file__).parents[2] / "data" / "stored"
+VOTERS = {"voter-1": "a", "voter-2": "b", "voter-3": "c"}
+SEEDS = ("a", "b", "c")
+DATABASE = "rootstock.sqlite"
+WAL = DATABASE + "-wal"
+NEW_DISK = "new disk"
+
+
+def service(name: str, version: int = 1, size: int = 2) -> Item:
+    return Item(SERVICE, name, version, {"name": name, "instances": size})
+
+
+def route(name: str, to: str, version: int = 1) -> Item:
+    rule = {
+        "name": name,
+        "target_s": 0.25 * version,
+        "edition": f"r{version}",
+        "sorting": {"postcode": f"/{name}/"},
+        "dispatch": {"service": to, "deadline_s": 2.0, "delivery_attempts": 3},
+    }
+    return Item(ROUTE, name, version, {"destination": f"{name}.example", "rule": rule})
+
+
+# Orders that come again, or late, and how they stand to what is stored.
+ORDERS = {
+    "refused before": [route("r9", "s-unknown")],
+    "holds": [route("r1", "s2", 2)],
+    "confirmed before": [route("r1", "s1", 1)],
+    "another content under a number confirmed before": [route("r1", "s4", 1)],
+    "another content under the number that holds": [route("r1", "s4", 2)],
+    "older than what is known": [Item(ROUTE, "r4", 2, None)],
+    "new": [service("s7", 3), route("r7", "s7", 3)],
+    "dropped service": [route("r8", "s5", 3)],
+}
+
+
+def read_voter(folder: pathlib.Path, name: str) -> dict[str, Any]:
+    """All that a voter finds on its disk. This, `as_json` and `meaning` are all here that name the code."""
+    disk = Disk(str(folder), lambda call: None)
+    saved = disk.open(SEEDS, False)
+    disk.db.close()
+    return as_json(saved, name)
+
+
+def as_json(saved: Saved, name: str) -> dict[str, Any]:
+    """By names that stay, whatever the code calls them."""
+    acceptor = Acceptor(name, saved)
+    found = {
+        "identity": saved.disk,
+        "starts": saved.boots,
+        "seeds": saved.members,
+        "promised": saved.promised,
+        "settled": saved.settled,
+        "accepted": saved.accepted,
+        "accepted_items": saved.delta,
+        "rows": sorted(saved.rows, key=lambda row: row[:2]),
+        "identities_noted": saved.disks,
+        "voting": saved.voting,
+        "members_known": saved.known,
+        "epoch": acceptor.epoch,
+        "members": acceptor.members.of,
+    }
+    return json.loads(json.dumps(found))
+
+
+def meaning(folder: pathlib.Path, name: str) -> dict[str, Any]:
+    """What a voter makes of its rows: kinds and keys of content are part of what is stored."""
+    disk = Disk(str(folder), lambda call: None)
+    acceptor = Acceptor(name, disk.open(SEEDS, False))
+    disk.db.close()
+    held = acceptor.copy.items
+    routes = [item for item in held.values() if item.kind == ROUTE and item.content is not None]
+    found = {
+        "configuration": laid_out(held.values()),
+        "places": {item.name: place_of(item.content) for item in routes},
+        "services": {item.name: services_of(item.content) for item in routes},
+        "dropped": sorted(item.key for item in held.values() if item.content is None),
+        "forgotten_up_to": [acceptor.copy.floor, acceptor.copy.horizon],
+        "lease": held[LEASE, MEMBERS].content,
+        "refusals": [item.content for item in held.values() if item.kind == REFUSED],
+        "agreed_clock": acceptor.copy.clock,
+        "past_versions": {item.name: item.past for item in held.values() if item.past != NO_PAST},
+        "answers": {name: answer(held, order) for name, order in ORDERS.items()},
+        "serves": acceptor.serves,
+        "unsettled": acceptor.unsettled,
+    }
+    return json.loads(json.dumps(found))
+
+
+def answer(held: Mapping[tuple[str, str], Item], order: list[Item]) -> Any:
+    """What is settled for an order, and what its operator is told."""
+    rows, outcome = judged(held, order, digest_of_order(order), 100.0)
+    told = True if outcome is True else [outcome.status, outcome.reason]
+    return [[item.packed() for item in rows.values()], told]
+
+
+def is_new_disk(found: dict[str, Any]) -> bool:
+    """Whether the voter counts its disk as wiped: another identity, and no vote before it has enrolled."""
+    return (
+        found["identity"][0] == 1
+        and found["starts"] == 1
+        and not (found["voting"] or found["members_known"])
+        and found["promised"] == found["settled"] == found["accepted"] == [0, ""]
+        and not (found["rows"] or found["accepted_items"] or found["identities_noted"])
+    )
+
+
+class StoredData(TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.expected = json.loads((STORED / "voters-expected.json").read_text())
+        self.scratch = pathlib.Path(tempfile.mkdtemp())
+        self.addCleanup(shutil.rmtree, self.scratch)
+
+    def copy_of(self, voter: str) -> pathlib.Path:
+        shutil.rmtree(self.scratch)
+        return pathlib.Path(shutil.copytree(STORED / voter, self.scratch))
+
+    def assert_reads(self, voter: str, state: str, why: str) -> None:
+        """`state`: how many transactions of the log are read, or `NEW_DISK`."""
+        found = read_voter(self.scratch, VOTERS[voter])
+        if state == NEW_DISK:
+            self.assertTrue(is_new_disk(found), why)
+            known = self.expected[voter]["whole"]["identity"]
+            self.assertNotEqual(known, found["identity"], why)
+        else:
+            self.assertEqual(self.expected[voter]["states"][state], found, why)
+
+    def test_every_row_is_read_back(self) -> None:
+        for voter, name in VOTERS.items():
+            with self.subTest(voter):
+                found = read_voter(self.copy_of(voter), name)
+                self.assertEqual(self.expected[voter]["whole"], found)
+
+    def test_rows_mean_what_they_meant(self) -> None:
+        for voter, name in VOTERS.items():
+            with self.subTest(voter):
+                self.assertEqual(self.expected[voter]["meaning"], meaning(self.copy_of(voter), name))
+
+    def test_the_next_start_reads_the_same_and_counts_one_more(self) -> None:
+        for voter, name in VOTERS.items():
+            with self.subTest(voter):
+                folder = self.copy_of(voter)
+                first, second = read_voter(folder, name), read_voter(folder, name)
+                self.assertEqual({**first, "starts": first["starts"] + 1}, second)
+
+    def test_a_log_cut_off_anywhere_reads_as_the_last_whole_transaction_before(self) -> None:
+        for voter in VOTERS:
+            for cut in self.expected[voter]["cuts"]:
+                with self.subTest(voter=voter, **cut):
+                    log = self.copy_of(voter) / WAL
+                    log.write_bytes(log.read_bytes()[: cut["at"]])
+                    self.assert_reads(voter, cut["state"], f"{voter} {cut}")
+
+    def test_a_log_with_one_byte_changed_reads_as_the_last_sound_transaction_before(self) -> None:
+        for voter in VOTERS:
+            for change in self.expected[voter]["changed_bytes"]:
+                with self.subTest(voter=voter, **change):
+                    change_byte(self.copy_of(voter) / WAL, change["at"])
+                    self.assert_reads(voter, change["state"], f"{voter} {change}")
+
+    def test_a_database_without_its_log_or_damaged_is_read_as_before(self) -> None:
+        for voter in VOTERS:
+            for damage in self.expected[voter]["damages"]:
+                with self.subTest(voter=voter, **damage):
+                    folder = self.copy_of(voter)
+                    damaged(folder, damage["kind"])
+                    self.assert_reads(voter, damage["state"], f"{voter} {damage}")
+
+
+def damaged(folder: pathlib.Path, kind: str) -> None:
+    """Harm to the database file itself, by the kinds that voters-expected.json names."""
+    database, log = folder / DATABASE, folder / WAL
+    if kind == "log lost":
+        log.unlink()
+    elif kind == "database header overwritten, log lost":
+        log.unlink()
+        database.write_bytes(b"\xff" * 100 + database.read_bytes()[100:])
+    elif kind == "database cut to half, log lost":
+        log.unlink()
+        database.write_bytes(database.read_bytes()[: database.stat().st_size // 2])
+    elif kind == "one byte of a stored route changed, log lost":
+        log.unlink()
+        change_byte(database, database.read_bytes().index(b"r1.example"))
+    else:
+        raise ValueError(kind)
