--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -1,6 +1,6 @@
-"""Long measurements of agreed rules, printed as tables for docs/figures/agreed.md: time from put to in force,
-what renewals cost a coordinator, thousands that are back at once. Real coordinators on loopback; sidecars'
-parts (holder and follower) many to a process.
+"""Long measurements of fleet rules, printed as tables for docs/figures/agreed.md: time from put to in force,
+what renewals cost a coordinator, thousands that are back at once. Real coordinators on loopback; lease
+holders with their clients, many to a process.
 
     .venv/bin/python bench/agreed.py force|cost|back
 """
@@ -23,11 +23,11 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parents[1]))
 
 from foxspread import change  # noqa: E402
-from foxspread.fleet_rules.version_content import parse_version  # noqa: E402
-from foxspread.fleet_rules.lease_client import LeaseClient  # noqa: E402
-from foxspread.fleet_rules.lease_holder import LeaseHolder, Mode  # noqa: E402
 from foxspread.config import address  # noqa: E402
 from foxspread.consensus.client import Client, call  # noqa: E402
+from foxspread.fleet_rules.lease_client import LeaseClient  # noqa: E402
+from foxspread.fleet_rules.lease_holder import LeaseHolder, Mode  # noqa: E402
+from foxspread.fleet_rules.version_content import parse_version  # noqa: E402
 from foxspread.lab.processes import end_to_end  # noqa: E402
 from foxspread.lab.processes.fleet import Fleet, processor, resident  # noqa: E402
 from foxspread.lab.processes.real import ERRORS  # noqa: E402
@@ -57,10 +57,10 @@
     at = [address(each, "at") for each in ways]
     clients: list[LeaseClient] = []
 
-    def told() -> None:
+    def report() -> None:
         rows = [each.holder.effective(clock()) for each in clients]
         on = [each.phase for each in rows if each.mode is Mode.IN_FORCE]
-        print(json.dumps({"at": time.monotonic(), "settled": len(on), "least": min(on, default=0),
+        print(json.dumps({"at": time.monotonic(), "in_force": len(on), "least": min(on, default=0),
                           "all": len(clients) == count, "asks": sum(each.calls for each in clients),
                           "failed": sum(each.failed_calls for each in clients)}), flush=True)  # fmt: skip
 
@@ -70,7 +70,7 @@
         clients.append(LeaseClient(holder, clock, at, chance.random, lambda effective: due.set()))
         await asyncio.sleep(spread / count)
     while True:
-        told()
+        report()
         due.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(1.0):
@@ -86,13 +86,13 @@
         self.processes: list[asyncio.subprocess.Process] = []
         self.last: dict[int, dict] = {}
         self.tasks: list[asyncio.Task] = []
-        self.said = asyncio.Event()
+        self.reported = asyncio.Event()
 
     async def __aenter__(self) -> "Group":
         for first in range(0, self.count, IN_ONE):
-            told = [self.base + first, min(IN_ONE, self.count - first), self.ways, self.spread]
+            arguments = [self.base + first, min(IN_ONE, self.count - first), self.ways, self.spread]
             process = await asyncio.create_subprocess_exec(
-                sys.executable, __file__, "many", json.dumps(told), stdout=asyncio.subprocess.PIPE
+                sys.executable, __file__, "many", json.dumps(arguments), stdout=asyncio.subprocess.PIPE
             )
             self.processes.append(process)
             self.tasks.append(asyncio.create_task(self._read(first, process)))
@@ -108,22 +108,22 @@
     async def _read(self, first: int, process: asyncio.subprocess.Process) -> None:
         while line := await process.stdout.readline():
             self.last[first] = json.loads(line)
-            self.said.set()
+            self.reported.set()
 
-    def settled(self, phase: int) -> int:
+    def in_force(self, phase: int) -> int:
         """How many act on this phase or a later one, where all of a process do."""
-        return sum(row["settled"] for row in self.last.values() if row["least"] >= phase)
+        return sum(row["in_force"] for row in self.last.values() if row["least"] >= phase)
 
     async def until(self, phase: int, within: float) -> float:
         """Seconds until all act on it."""
         begun = time.monotonic()
-        while self.settled(phase) < self.count:
+        while self.in_force(phase) < self.count:
             if time.monotonic() - begun > within:
-                raise TimeoutError(f"{self.settled(phase)} of {self.count} on phase {phase}: {self.last}")
-            self.said.clear()
+                raise TimeoutError(f"{self.in_force(phase)} of {self.count} on phase {phase}: {self.last}")
+            self.reported.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
-                    await self.said.wait()
+                    await self.reported.wait()
         return time.monotonic() - begun
 
 
@@ -226,7 +226,7 @@
     writer.close()
 
 
-class Whole:
+class FullSidecar:
     """A whole sidecar before stand-in servers, with agreed rules or without."""
 
     def __init__(self, folder: pathlib.Path, name: str, ways: list[str], places: list[str]) -> None:
@@ -234,10 +234,10 @@
         rules = tomllib.loads(SIDECAR.format(number=0, hands=3))["settings"]
         known = [{"id": f"s{at}", "addr": each, "zone": "a", "cell": 1, "state": "ready"}
                  for at, each in enumerate(places)]  # fmt: skip
-        told = {"name": name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
-                "limits": {"memory_mb": 192, "sockets": 1024}, "settings": rules | {"az": "a"},
+        config = {"name": name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
+                  "limits": {"memory_mb": 192, "sockets": 1024}, "settings": rules | {"az": "a"},
                 "known": {"version": 1, "full": True, "servers": known}}  # fmt: skip
-        self.config.write_text(json.dumps(told))
+        self.config.write_text(json.dumps(config))
         self.file.write_text(f"[agreed]\ncoordinators = {json.dumps(ways)}\n" if ways else "")
         self.count, self.took, self.cores, self.settled = 0, [], [], asyncio.Event()
 
@@ -285,7 +285,9 @@
         await client.put(SIDECAR.format(number=1, hands=3))
         servers = [await asyncio.start_server(answering, "127.0.0.1", 0) for _ in range(4)]
         places = ["%s:%d" % each.sockets[0].getsockname()[:2] for each in servers]
-        both = [Whole(found.folder, name, ways, places) for name, ways in (("off", []), ("on", group.ways))]
+        both = [
+            FullSidecar(found.folder, name, ways, places) for name, ways in (("off", []), ("on", group.ways))
+        ]
         try:
             for each in both:
                 await each.start()
@@ -323,11 +325,11 @@
         "all coordinators away for 6 s": {"versions": 1, "script": away},
         "drawn faults, a version each 1.5 s": {"faults": True},
     }
-    for name, told in days.items():
+    for name, more in days.items():
         done = whole = 0
         faults: list[str] = []
         for seed in range(1, seeds + 1):
-            found = await end_to_end.played(seed, **{"faults": False, "steady": True, "alone": 60.0, **told})
+            found = await end_to_end.played(seed, **{"faults": False, "steady": True, "alone": 60.0, **more})
             faults += found.faults
             rows = [row for row in found.shares if 4 <= row[0] < 20]
             done += sum(share * count for _, share, count in rows)
@@ -376,24 +378,24 @@
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("what", choices=("force", "cost", "back", "sidecar", "service", "change", "many"))
-    parser.add_argument("told", nargs="?", default="[]")
+    parser.add_argument("arguments", nargs="?", default="[]")
     parser.add_argument("--count", type=int)
     parser.add_argument("--members", type=int, default=5)
     parser.add_argument("--puts", type=int, default=100)
     parser.add_argument("--seconds", type=float, default=30.0)
-    told = parser.parse_args()
-    if told.what == "many":
+    options = parser.parse_args()
+    if options.what == "many":
         with contextlib.suppress(KeyboardInterrupt, BrokenPipeError):
-            asyncio.run(many(*json.loads(told.told)))
+            asyncio.run(many(*json.loads(options.arguments)))
         os._exit(0)
     asyncio.run({
-        "force": lambda: force(told.count or 50, told.puts),
-        "cost": lambda: cost(told.count or 400, told.seconds),
-        "back": lambda: back(told.count or 2000, told.members),
-        "change": lambda: changing(told.count or 4000),
-        "service": lambda: service(told.puts // 20),
-        "sidecar": lambda: sidecar(told.puts // 10, 3.0),
-    }[told.what]())  # fmt: skip
+        "force": lambda: force(options.count or 50, options.puts),
+        "cost": lambda: cost(options.count or 400, options.seconds),
+        "back": lambda: back(options.count or 2000, options.members),
+        "change": lambda: changing(options.count or 4000),
+        "service": lambda: service(options.puts // 20),
+        "sidecar": lambda: sidecar(options.puts // 10, 3.0),
+    }[options.what]())  # fmt: skip
 
 
 if __name__ == "__main__":
