--- a/foxspread/cli/rules.py
+++ b/foxspread/cli/rules.py
@@ -8,6 +8,7 @@
 import secrets
 import sys
 import time
+from collections.abc import Awaitable, Callable
 from typing import Any
 
 import click
@@ -15,12 +16,14 @@
 from foxspread.cli.coordinator import AT, JSON, WITHIN, asked, printed
 from foxspread.config import Address, ConfigError
 from foxspread.consensus.client import Client, Reply, Unreached, call
-from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules import codec, key_rules
 from foxspread.fleet_rules.coordinator_process import check_version
 from foxspread.fleet_rules.rollout import LeaseTerms
 from foxspread.net.http import BadMessage
 
 FILE = click.Path(exists=True, dir_okay=False)
+STATUS_SECONDS = 2.0  # for one coordinator's answer on the rollout: the next one may know as much
+POLL_SECONDS = 0.05  # between two looks of `wait`
 
 
 @click.group()
@@ -35,6 +38,7 @@
 
 
 def checked(file: str) -> str:
+    """The text of a version's file. Raises `click.UsageError` with key and value where it is at fault."""
     text = pathlib.Path(file).read_bytes()
     try:
         check_version(text)
@@ -104,6 +108,8 @@
     as_json: bool,
     more: dict[str, Any],
 ) -> None:
+    """Writes `text` as the next version, and prints its number and digest. `if_version`: what must be the
+    latest, -1 for any. `more`: further options of `Client.put`."""
     request = request or secrets.token_hex(8)
     reply = reached(
         at,
@@ -117,38 +123,39 @@
 
 
 def user() -> str:
+    """Who runs this, empty where the system doesn't say."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
         return ""
 
 
-def reached(at: list[Address], within: float, as_json: bool, request: str, ask: Any) -> Reply:
+def reached(
+    at: list[Address],
+    within: float,
+    as_json: bool,
+    request: str,
+    call_client: Callable[[Client], Awaitable[Reply]],
+) -> Reply:
     """Says plainly where it is not known whether something was written, and how to find out."""
     import asyncio
 
     try:
-        return asyncio.run(ask(Client(at, within)))
+        return asyncio.run(call_client(Client(at, within)))
     except Unreached as error:
-        open = bool(request) and error.open
-        what = (
-            f"not known whether written; try again with --request {request}"
-            if open
-            else "not written"
-            if request
-            else ""
-        )
+        unknown = bool(request) and error.open
         if as_json:
-            click.echo(
-                json.dumps(
-                    {"status": "unknown" if open else "unreached", "why": str(error), "request": request}
-                )
-            )
+            status = "unknown" if unknown else "unreached"
+            click.echo(json.dumps({"status": status, "why": str(error), "request": request}))
             sys.exit(1)
-        raise click.ClickException(f"{error}" + (f"\n{what}" if what else "")) from None
+        outcome = "\nnot written" if request else ""
+        if unknown:
+            outcome = f"\nnot known whether written; try again with --request {request}"
+        raise click.ClickException(f"{error}{outcome}") from None
 
 
 def version_of(number: int, at: list[Address], within: float, as_json: bool) -> Reply:
+    """A version, the latest for 0. Raises `click.ClickException` where there is none."""
     reply = reached(at, within, as_json, "", lambda client: client.get(number))
     if reply.code == 200 and reply.value.get("version") is None:
         raise click.ClickException(f"there is no version {number}" if number else "there is no version yet")
@@ -173,19 +180,19 @@
 @JSON
 def history(most: int, at: list[Address], within: float, as_json: bool) -> None:
     """The latest versions first: number, digest, what it follows, when, who and why."""
-    found: list[dict[str, Any]] = []
-    while len(found) < most:
-        before = found[-1]["number"] if found else 0
+    versions: list[dict[str, Any]] = []
+    while len(versions) < most:
+        before = versions[-1]["number"] if versions else 0
         if before == 1:
             break
         page = reached(at, within, as_json, "", lambda client: client.history(before)).value["versions"]
         if not page:
             break
-        found += page
-    found = found[:most]
+        versions += page
+    versions = versions[:most]
     if as_json:
-        return click.echo(json.dumps(found))
-    for row in found:
+        return click.echo(json.dumps(versions))
+    for row in versions:
         when = datetime.datetime.fromtimestamp(row["at"]).strftime("%Y-%m-%d %H:%M:%S")
         click.echo(
             f"{row['number']}  {row['digest'][:12]}  follows {row['follows']}  {when}  {row['who'] or '-'}  "
@@ -235,21 +242,21 @@
     write(text, latest, why or f"back to version {number}", who, None, at, within, as_json, more)
 
 
-def course(at: list[Address], within: float) -> dict[str, Any]:
-    """As the one that leads sees it; as another does where none leads."""
+def rollout_status(at: list[Address], within: float) -> dict[str, Any]:
+    """The answer to GET /course: as the leader sees it; as another does where none leads."""
 
-    async def ask(client: Client) -> dict[str, Any]:
-        found = []
+    async def fetch(client: Client) -> dict[str, Any]:
+        rows = []
         for address in client.addresses:
             try:
-                found.append((await call(address, "GET", "/course", within=min(2.0, within))).value)
+                rows.append((await call(address, "GET", "/course", within=min(STATUS_SECONDS, within))).value)
             except (OSError, TimeoutError, BadMessage):
                 continue
-        if not found:
+        if not rows:
             raise Unreached("no coordinator answers", False)
-        return max(found, key=lambda row: (row["leads"], row["phase"]))
+        return max(rows, key=lambda row: (row["leads"], row[codec.PHASE]))
 
-    return asked(at, within, ask)
+    return asked(at, within, fetch)
 
 
 @rules.command()
@@ -258,22 +265,22 @@
 @JSON
 def status(at: list[Address], within: float, as_json: bool) -> None:
     """What is in force, what is announced, and who acts on what."""
-    found = course(at, within)
+    rollout = rollout_status(at, within)
     if as_json:
-        return click.echo(json.dumps(found))
+        return click.echo(json.dumps(rollout))
+    phase, in_force, announced = (rollout[key] for key in (codec.PHASE, codec.IN_FORCE, codec.ANNOUNCED))
     click.echo(
-        f"phase {found['phase']}  in force {found['settled'] or '-'}  announced {found['next'] or '-'}  "
-        f"latest {found['latest'] or '-'}" + ("" if found["leads"] else "  (nobody is known to lead)")
+        f"phase {phase}  in force {in_force or '-'}  announced {announced or '-'}  "
+        f"latest {rollout['latest'] or '-'}" + ("" if rollout["leads"] else "  (nobody is known to lead)")
     )
-    for number, why in found["withdrawn"].items():
-        click.echo(f"withdrawn {number}: {why}")
-    for name, row in sorted(found["holders"].items()):
-        state = "confirmed" if row["phase"] >= found["phase"] else f"on phase {row['phase']}"
-        click.echo(
-            f"{name}  {state}  heard {row['heard']:.1f} s ago"
-            + (f"  turned down: {row['why']}" if row["why"] else "")
-        )
-    for name in found["silent"]:
+    for number, reason in rollout["withdrawn"].items():
+        click.echo(f"withdrawn {number}: {reason}")
+    for name, row in sorted(rollout["holders"].items()):
+        state = "confirmed" if row[codec.PHASE] >= phase else f"on phase {row[codec.PHASE]}"
+        reason = row[codec.REFUSAL_REASON]
+        refusal = f"  turned down: {reason}" if reason else ""
+        click.echo(f"{name}  {state}  heard {row['heard']:.1f} s ago{refusal}")
+    for name in rollout["silent"]:
         click.echo(f"{name}  not heard by the one that leads")
 
 
@@ -283,18 +290,18 @@
 @JSON
 def bound(at: list[Address], within: float, as_json: bool) -> None:
     """For how long two sidecars may contradict each other, by key."""
-    terms = course(at, within)["terms"]
+    terms = rollout_status(at, within)["terms"]
     if terms is None:
         raise click.ClickException("no terms are agreed yet")
     longest = LeaseTerms(**terms).contradiction_bound()
     rows = {
-        path: longest if rule.merge is compatibility.Merge.SWITCH else 0.0
-        for path, rule in compatibility.KEY_RULES.items()
+        path: longest if rule.merge is key_rules.Merge.SWITCH else 0.0
+        for path, rule in key_rules.KEY_RULES.items()
     }
     if as_json:
         return click.echo(json.dumps(rows))
     for path, seconds in rows.items():
-        click.echo(f"{path}  {seconds:g} s  {compatibility.KEY_RULES[path].merge.value}")
+        click.echo(f"{path}  {seconds:g} s  {key_rules.KEY_RULES[path].merge.value}")
 
 
 @rules.command()
@@ -310,19 +317,20 @@
     time."""
     end = time.monotonic() + within
     while True:
-        found = course(at, within)
-        if str(number) in found["withdrawn"]:
-            raise click.ClickException(f"version {number} was withdrawn: {found['withdrawn'][str(number)]}")
-        done = found["settled"] >= number
-        if done and settled:
-            done = (
-                all(row["phase"] >= found["phase"] for row in found["holders"].values())
-                and not found["silent"]
-            )
-        if done:
-            return click.echo(json.dumps(found) if as_json else f"version {found['settled']} is in force")
+        rollout = rollout_status(at, within)
+        if reason := rollout["withdrawn"].get(str(number)):
+            raise click.ClickException(f"version {number} was withdrawn: {reason}")
+        if rollout[codec.IN_FORCE] >= number and (not settled or _all_confirmed(rollout)):
+            text = f"version {rollout[codec.IN_FORCE]} is in force"
+            return click.echo(json.dumps(rollout) if as_json else text)
         if time.monotonic() > end:
             raise click.ClickException(
                 f"version {number} is not in force after {within:g} s; see `foxspread rules status`"
             )
-        time.sleep(0.05)
+        time.sleep(POLL_SECONDS)
+
+
+def _all_confirmed(rollout: dict[str, Any]) -> bool:
+    """Whether all holders act on the present phase, by an answer to GET /course."""
+    holders = rollout["holders"].values()
+    return not rollout["silent"] and all(row[codec.PHASE] >= rollout[codec.PHASE] for row in holders)
--- a/foxspread/fleet_rules/codec.py
+++ b/foxspread/fleet_rules/codec.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules.flat_rules import FlatRules
 
 # POST /lease, a request.
 HOLDER, PHASE, REFUSED_PHASE, REFUSAL_REASON = "holder", "phase", "refused", "why"
--- a/foxspread/fleet_rules/coordinator_process.py
+++ b/foxspread/fleet_rules/coordinator_process.py
@@ -19,8 +19,9 @@
 from foxspread.consensus.process import ID, Process, told, waits
 from foxspread.fleet_rules import codec, compatibility
 from foxspread.fleet_rules.codec import LeaseGrant, LeaseRequest
-from foxspread.fleet_rules.compatibility import UnsupportedRuleError
-from foxspread.fleet_rules.lease_manager import MAX_REASON, LeaderState, LeaseManager
+from foxspread.fleet_rules.flat_rules import UnsupportedRuleError
+from foxspread.fleet_rules.leader_state import LeaderState
+from foxspread.fleet_rules.lease_manager import MAX_REASON, LeaseManager
 from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
 from foxspread.fleet_rules.safety_check import unsafe_change
 from foxspread.fleet_rules.version_content import parse_version
--- a/foxspread/fleet_rules/lease_holder.py
+++ b/foxspread/fleet_rules/lease_holder.py
@@ -17,7 +17,7 @@
 
 from foxspread.fleet_rules import compatibility
 from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
-from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules.flat_rules import FlatRules
 from foxspread.fleet_rules.version_content import VersionContent
 from foxspread.leases import DEFAULT_DRIFT, LeaseRenewal
 
--- a/foxspread/fleet_rules/lease_manager.py
+++ b/foxspread/fleet_rules/lease_manager.py
@@ -10,20 +10,19 @@
 has the whole argument.
 """
 
-from dataclasses import dataclass, field
 from typing import Any
 
 import msgspec
 
 from foxspread.consensus.coordinator import Answer, Coordinator, Out, Status
 from foxspread.consensus.core import Refused, Role
-from foxspread.consensus.messages import Row, Snapshot, encoded
+from foxspread.consensus.messages import Snapshot, encoded
 from foxspread.fleet_rules.codec import LeaseGrant, LeaseRequest
+from foxspread.fleet_rules.leader_state import HolderReport, HolderStatus, LeaderState
 from foxspread.fleet_rules.pending_requests import (
     GATHER_SECONDS,
     MAX_REQUESTS,
     PendingRequests,
-    Proposals,
     batches,
 )
 from foxspread.fleet_rules.rollout import (
@@ -39,43 +38,13 @@
 
 BATCH = 256  # holders in one record, or one report: keeps it well below 40 KiB
 MAX_UNADMITTED = 4096  # holders of which something was heard, beyond those that are admitted
-SILENT_LEASES = 2  # leases without a request after which a holder is removed
-SILENCE_CHECKS_PER_LEASE = 10  # not at each input: a check costs by the number of holders
+HOLDER_TIMEOUT_LEASES = 2  # leases without a request after which a holder is removed
+TIMEOUT_CHECKS_PER_LEASE = 10  # not at each input: a check costs by the number of holders
 MAX_REASON = 300  # characters of why a version is withdrawn
 ROLLOUT_STEP = "step"  # announce, put in force and withdraw exclude each other
 ADMISSION_STEP = "open"
 
 
-class HolderStatus(Row):
-    """What a holder said last: the phase that it acts on, one that it refuses (0: none) and why."""
-
-    phase: int
-    refused_phase: int = 0
-    refusal_reason: str = ""
-
-
-class HolderReport(Row, frozen=True, tag="report"):
-    """From a member to the leader: what holders said to it."""
-
-    statuses: dict[str, HolderStatus]
-
-
-@dataclass
-class LeaderState:
-    """What a leader knows of holders, from its election on."""
-
-    term: int
-    since: float
-    last_heard: dict[str, float] = field(default_factory=dict)
-    statuses: dict[str, HolderStatus] = field(default_factory=dict)
-    unadmitted: dict[str, None] = field(default_factory=dict)  # heard, and to be admitted, in order
-    refusing: dict[str, HolderStatus] = field(default_factory=dict)  # those that refused a phase
-    next_silence_check: float = 0.0
-    checked_phase: int = 0  # whose version was checked, and what is wrong with it
-    incompatibility: str = ""
-    proposals: Proposals = field(default_factory=Proposals)
-
-
 class LeaseManager(Coordinator):
     """`terms`: what it proposes where the fleet has agreed on none yet."""
 
@@ -126,10 +95,10 @@
             self.answers.append(Answer(token, Status.REFUSED, f"{MAX_REQUESTS} asks wait already"))
             return False
         requests.add(token, request, now + self.patience)
-        self._flush_soon(now)
+        self._schedule_flush(now)
         return True
 
-    def _flush_soon(self, now: float) -> None:
+    def _schedule_flush(self, now: float) -> None:
         self.flush_at = min(self.flush_at, now + GATHER_SECONDS)
 
     def watch_phase(self, now: float, token: int, phase: int, wait: float) -> None:
@@ -207,7 +176,7 @@
         if pending is None:
             return
         if pending.request.holder_id not in self.rollout.holders or self.rollout.terms is None:
-            return self._flush_soon(now)
+            return self._schedule_flush(now)
         self.requests.remove(token)
         self.answers.append(Answer(token, Status.DONE, self.current_grant(), self.member.leader))
 
@@ -232,9 +201,9 @@
         if self.rollout.terms is None:
             return self._propose(now, "terms", self.proposed_terms)
         self._admit_holders(now, self.lead)
-        if now >= self.lead.next_silence_check:
-            self.lead.next_silence_check = now + self.terms.lease / SILENCE_CHECKS_PER_LEASE
-            self._remove_silent(now, self.lead)
+        if now >= self.lead.next_timeout_check:
+            self.lead.next_timeout_check = now + self.terms.lease / TIMEOUT_CHECKS_PER_LEASE
+            self._remove_timed_out(now, self.lead)
         for version, since in self.alone_replaced_at.items():
             if now - since > self.terms.expired_after(self.terms.lease + self.terms.alone):
                 self._propose(now, f"drop {version}", DropAlonePart(version))
@@ -279,18 +248,18 @@
             for holder in rollout.holders
         )
 
-    def _remove_silent(self, now: float, lead: LeaderState) -> None:
+    def _remove_timed_out(self, now: float, lead: LeaderState) -> None:
         """Removes holders of which nothing was heard for two leases: they are asked for no confirmation any
         more."""
-        silence = SILENT_LEASES * self.lease_expired_after
-        silent = [
+        timeout = HOLDER_TIMEOUT_LEASES * self.lease_expired_after
+        timed_out = [
             holder
             for holder in self.rollout.holders
-            if now - lead.last_heard.get(holder, lead.since) > silence
+            if now - lead.last_heard.get(holder, lead.since) > timeout
         ]
-        if silent:
-            self._propose(now, "close", RemoveHolders(silent[:BATCH]))
-        for holder in [each for each, heard_at in lead.last_heard.items() if now - heard_at > silence]:
+        if timed_out:
+            self._propose(now, "close", RemoveHolders(timed_out[:BATCH]))
+        for holder in [each for each, heard_at in lead.last_heard.items() if now - heard_at > timeout]:
             del lead.last_heard[holder], lead.statuses[holder]
             lead.unadmitted.pop(holder, None)
             lead.refusing.pop(holder, None)
@@ -390,11 +359,11 @@
     def _holders_removed(self, now: float) -> None:
         self.removal_seen_at = now
         if self.lead is not None:  # heard while they were being removed: admitted again
-            again = [each for each in self.lead.statuses if each not in self.rollout.holders]
-            self.lead.unadmitted |= dict.fromkeys(again)
+            readmitted = [each for each in self.lead.statuses if each not in self.rollout.holders]
+            self.lead.unadmitted |= dict.fromkeys(readmitted)
 
     def _holders_admitted(self, now: float) -> None:
         if self.lead is not None:
             self.lead.proposals.applied(ADMISSION_STEP)
         if len(self.requests):
-            self._flush_soon(now)
+            self._schedule_flush(now)
--- a/foxspread/fleet_rules/rollout.py
+++ b/foxspread/fleet_rules/rollout.py
@@ -12,7 +12,7 @@
 from foxspread.consensus.messages import Row, encoded
 from foxspread.consensus.versions import Conflict, Done, Misused, Put, State, Versions
 from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.compatibility import UnsupportedRuleError
+from foxspread.fleet_rules.flat_rules import UnsupportedRuleError
 from foxspread.fleet_rules.version_content import parse_version
 
 MAX_HOLDERS = 10_000  # sidecars with leases: bounds a snapshot
--- a/foxspread/fleet_rules/safety_check.py
+++ b/foxspread/fleet_rules/safety_check.py
@@ -1,7 +1,8 @@
 """Finds what a person may not have meant: a version that leaves a zone without servers, or removes many at
 once. Such a version has to be put with `--even-so`."""
 
-from foxspread.fleet_rules.compatibility import FlatRules, usable_servers
+from foxspread.fleet_rules.compatibility import usable_servers
+from foxspread.fleet_rules.flat_rules import FlatRules
 
 MAX_REMOVED_SHARE = 1 / 3  # of the servers at once; a rollout of one zone of three stays below
 
--- a/foxspread/fleet_rules/sidecar_rules.py
+++ b/foxspread/fleet_rules/sidecar_rules.py
@@ -19,9 +19,9 @@
 from loguru import logger
 
 from foxspread.config import ConfigError, NamedServer, Section, named_server, settings
-from foxspread.fleet_rules import codec, compatibility
+from foxspread.fleet_rules import codec, flat_rules
 from foxspread.fleet_rules.codec import AloneState
-from foxspread.fleet_rules.compatibility import FlatRules, UnsupportedRuleError
+from foxspread.fleet_rules.flat_rules import FlatRules, UnsupportedRuleError
 from foxspread.fleet_rules.lease_client import LeaseClient
 from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
 from foxspread.fleet_rules.version_content import VersionContent, parse_version
@@ -145,7 +145,7 @@
 
     def _balancer_rules(self, rules: FlatRules) -> ActiveRules:
         """Rules in the form in which the balancer takes them. Raises `ConfigError` with key and value."""
-        tree = compatibility.unflatten(rules)
+        tree = flat_rules.unflatten(rules)
         lists = tree.get("lists", {})
         own = {"az": self.own["zone"], "position": self.own["position"]}
         arguments = settings(Section(tree.get("settings", {}) | own, "settings"), self.own["seed"])
--- a/foxspread/fleet_rules/version_content.py
+++ b/foxspread/fleet_rules/version_content.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from foxspread.fleet_rules import compatibility, rules_parser
-from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules.flat_rules import FlatRules
 
 CACHED_VERSIONS = 128  # a version is needed again at each phase; parsing one takes milliseconds
 
--- a/foxspread/lab/processes/end_to_end_judge.py
+++ b/foxspread/lab/processes/end_to_end_judge.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules import flat_rules, key_rules
+from foxspread.fleet_rules.flat_rules import FlatRules
 from foxspread.fleet_rules.version_content import parse_version
 from foxspread.lab.processes.end_to_end_server import Attempt
 from foxspread.lab.processes.end_to_end_versions import group
@@ -97,7 +97,7 @@
             earlier = by_lookup.setdefault(attempt.lookup, [])
             if rules is None:
                 if attempt.at < self.first_at - LOG_SECONDS:
-                    self._found(f"{attempt.lookup} handed off before there were rules")
+                    self._report(f"{attempt.lookup} handed off before there were rules")
             else:
                 self._judge_attempt(attempt, earlier, rules, list(following), changed)
             earlier.append(attempt)
@@ -105,7 +105,7 @@
         for same in by_lookup.values():
             self._judge_lookup(same)
 
-    def _found(self, text: str) -> None:
+    def _report(self, text: str) -> None:
         if len(self.result.faults) < MAX_FAULTS:
             self.result.faults.append(text)
 
@@ -123,12 +123,12 @@
                 violations = self._violations(attempt, earlier, self._rules(step))
         for path, text in violations:
             after = attempt.at - changed.get(path, 0.0)
-            if compatibility.is_switch(path):
+            if key_rules.is_switch(path):
                 longest = self.result.longest_violations.get(path, 0.0)
                 self.result.longest_violations[path] = max(longest, after)
                 if after <= self.lease * DRIFT + LATE_SECONDS:
                     continue
-            self._found(f"{attempt.at:.3f} {attempt.lookup}: {text}; {path} so for {after:.3f} s")
+            self._report(f"{attempt.at:.3f} {attempt.lookup}: {text}; {path} so for {after:.3f} s")
 
     def _judge_lookup(self, attempts: list[Attempt]) -> None:
         first = attempts[0]
@@ -144,45 +144,45 @@
         row = f"settings.categories.{attempt.category}."
         if row not in rules:
             return [(row, "handed off, and its category is not there")]
-        found = []
+        violations = []
         limit = rules["settings.limits.max_hand_offs"]
         if len(earlier) >= limit:
             text = f"hand-off {len(earlier) + 1} of at most {limit}"
-            found.append(("settings.limits.max_hand_offs", text))
+            violations.append(("settings.limits.max_hand_offs", text))
         open_attempts = [each for each in earlier if each.over > attempt.at + LATE_SECONDS]
         if open_attempts and not rules["settings.limits.parallel_tries"]:
             text = f"a copy while {open_attempts[0].server} has it"
-            found.append(("settings.limits.parallel_tries", text))
+            violations.append(("settings.limits.parallel_tries", text))
         if attempt.server in rules["lists.taken_out"]:
-            found.append(("lists.taken_out", f"sent to {attempt.server}"))
-        server_row = f"{compatibility.SERVERS}{attempt.server}."
+            violations.append(("lists.taken_out", f"sent to {attempt.server}"))
+        server_row = f"{flat_rules.SERVERS}{attempt.server}."
         if rules["lists.source"] == "here" and server_row not in rules:
-            found.append((server_row, "sent to, and not in the list"))
+            violations.append((server_row, "sent to, and not in the list"))
         ran = [each for each in earlier if each.ran]
         if ran and rules[row + "semantics"] == "single_shot":
-            found.append((row + "semantics", "repeated"))
+            violations.append((row + "semantics", "repeated"))
         elif ran and rules[row + "semantics"] == "guarded":
-            found += self._repeat_violations(row, ran[0], attempt, rules)
-        return found
+            violations += self._repeat_violations(row, ran[0], attempt, rules)
+        return violations
 
     def _repeat_violations(
         self, row: str, first: Attempt, attempt: Attempt, rules: FlatRules
     ) -> list[tuple[str, str]]:
         """Of a repeat that servers are to recognise."""
-        found = []
+        violations = []
         after = attempt.at - first.at
         if after > rules[row + "repeat_window_us"] / 1e6:
-            found.append((row + "repeat_window_us", f"repeated after {after:.3f} s"))
+            violations.append((row + "repeat_window_us", f"repeated after {after:.3f} s"))
         one, other = group(rules, first.server), group(rules, attempt.server)
         rules_then = self._rules_at(first.at + LATE_SECONDS)
         for server, now in ((first.server, one), (attempt.server, other)):
             if (then := group(rules_then, server)) != now:
-                path = f"{compatibility.SERVERS}{server}.cell"
-                found.append((path, f"repeated after {server} went from {then} to {now}"))
+                path = f"{flat_rules.SERVERS}{server}.cell"
+                violations.append((path, f"repeated after {server} went from {then} to {now}"))
         scope = rules[row + "key_scope"]
         if scope != "all" and one[1:] != other[1:] and (scope == "cell" or one[1] != other[1]):
-            found.append((row + "key_scope", f"repeated from {one} to {other}, {scope}"))
-        return found
+            violations.append((row + "key_scope", f"repeated from {one} to {other}, {scope}"))
+        return violations
 
     def _rules_at(self, moment: float) -> FlatRules:
         first = self.rules_since[0][1]
--- a/foxspread/lab/processes/end_to_end_versions.py
+++ b/foxspread/lab/processes/end_to_end_versions.py
@@ -4,7 +4,7 @@
 import random
 
 from foxspread.config import Address
-from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules.flat_rules import FlatRules
 
 SERVERS = (("s1", "a", 1), ("s2", "a", 1), ("s3", "a", 2), ("s4", "b", 1), ("s5", "b", 1), ("s6", "b", 2))
 REGROUPED = ("s3", "s6")  # servers whose cell changes from version to version
--- a/foxspread/lab/processes/fleet_rules_mutants.py
+++ b/foxspread/lab/processes/fleet_rules_mutants.py
@@ -10,9 +10,10 @@
 from foxspread.consensus.coordinator import Answer, Status
 from foxspread.consensus.core import Role
 from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
-from foxspread.fleet_rules.compatibility import FlatRules
+from foxspread.fleet_rules.flat_rules import FlatRules
 from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
-from foxspread.fleet_rules.lease_manager import HolderStatus, LeaderState, LeaseManager
+from foxspread.fleet_rules.leader_state import HolderStatus, LeaderState
+from foxspread.fleet_rules.lease_manager import LeaseManager
 from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
 from foxspread.fleet_rules.version_content import VersionContent
 from foxspread.lab.processes import fleet_rules_simulation
@@ -64,8 +65,8 @@
 
 
 @dataclass(frozen=True)
-class KeptLease:
-    """What `GoesBack` keeps over a restart."""
+class SavedLease:
+    """What `ResumesLease` keeps over a restart."""
 
     phase: int
     in_force: int
@@ -74,28 +75,28 @@
     contents: dict[int, VersionContent]
 
 
-KEPT_LEASES: dict[str, KeptLease] = {}  # by a sidecar's name
+SAVED_LEASES: dict[str, SavedLease] = {}  # by a sidecar's name
 
 
-class GoesBack(LeaseHolder):
+class ResumesLease(LeaseHolder):
     """Acts on after a restart as before it, by the file that it kept."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         restored: AloneState | None = arguments[-1]
-        kept = KEPT_LEASES.get(self.holder_id.partition("/")[0])
-        if restored is not None and kept is not None:
-            self.phase, self.in_force, self.announced = kept.phase, kept.in_force, kept.announced
-            self.rules, self.lease_until, self.contents = kept.rules, float("inf"), kept.contents
+        saved = SAVED_LEASES.get(self.holder_id.partition("/")[0])
+        if restored is not None and saved is not None:
+            self.phase, self.in_force, self.announced = saved.phase, saved.in_force, saved.announced
+            self.rules, self.lease_until, self.contents = saved.rules, float("inf"), saved.contents
 
     def _apply_pending(self, now: float) -> None:
         super()._apply_pending(now)
-        KEPT_LEASES[self.holder_id.partition("/")[0]] = KeptLease(
+        SAVED_LEASES[self.holder_id.partition("/")[0]] = SavedLease(
             self.phase, self.in_force, self.announced, self.rules, dict(self.contents)
         )
 
 
-class TakesOlder(LeaseHolder):
+class AcceptsOlder(LeaseHolder):
     """Goes back to an older phase when an answer comes late."""
 
     def on_grant(self, now: float, request: LeaseRequest, grant: LeaseGrant) -> None:
@@ -137,7 +138,7 @@
 class ForgetsRemoved(LeaseManager):
     """Takes a holder of which nothing was heard for half a lease for gone, with all that it was granted."""
 
-    def _remove_silent(self, now: float, lead: LeaderState) -> None:
+    def _remove_timed_out(self, now: float, lead: LeaderState) -> None:
         for holder in list(self.rollout.holders):
             if now - lead.last_heard.get(holder, lead.since) > 0.5 * self.terms.lease:
                 lead.statuses[holder] = HolderStatus(self.rollout.phase)
@@ -168,7 +169,7 @@
 
 
 WILD_TERMS = LeaseTerms(lease=1.5, alone=4.0, drift=0.1)  # clocks that run a tenth fast or slow
-CUT = {"faults": ("car_silent", "car_in", "car_out", "cars_cut"), "most": 12}
+PARTITIONS = {"faults": ("car_silent", "car_in", "car_out", "cars_cut"), "most": 12}
 MUTANTS: dict[str, Mutant] = {
     "from_answer": Mutant(
         Broken(holder=FromAnswer),
@@ -185,14 +186,14 @@
         Broken(holder=ConfirmsEarly), ("in_force", "bound"), {"acts": 20.0, "pause": 0.8}
     ),
     "goes_back": Mutant(
-        Broken(holder=GoesBack),
+        Broken(holder=ResumesLease),
         ("in_force", "bound", "none_yet"),
         {"faults": ("car_restart", "cars_cut", "car_restart", "car_silent"), "most": 18, "acts": 20.0},
     ),
     "takes_older": Mutant(
-        Broken(holder=TakesOlder), ("in_force", "bound"), {"faults": ("held", "loss"), "most": 8}
+        Broken(holder=AcceptsOlder), ("in_force", "bound"), {"faults": ("held", "loss"), "most": 8}
     ),
-    "newest": Mutant(Broken(holder=Newest), ("in_force", "bound"), CUT),
+    "newest": Mutant(Broken(holder=Newest), ("in_force", "bound"), PARTITIONS),
     "doesnt_wait": Mutant(
         Broken(manager=DoesntWait),
         ("in_force", "bound"),
@@ -201,8 +202,8 @@
     "unverified": Mutant(
         Broken(manager=Unverified), ("in_force", "bound"), {"faults": ("silent", "silent_in", "split")}
     ),
-    "forgets_closed": Mutant(Broken(manager=ForgetsRemoved), ("in_force", "bound"), CUT),
-    "loose_alone": Mutant(Broken(rollout=LooseAlone), ("in_force",), CUT),
+    "forgets_closed": Mutant(Broken(manager=ForgetsRemoved), ("in_force", "bound"), PARTITIONS),
+    "loose_alone": Mutant(Broken(rollout=LooseAlone), ("in_force",), PARTITIONS),
     "forces_at_once": Mutant(Broken(manager=ForcesAtOnce), ("in_force", "bound")),
     "suspended_clock": Mutant(
         Broken(stops_suspended=True),
@@ -216,9 +217,9 @@
     """One seed with a broken part; empty: the sound ones."""
     if not mutant:
         return fleet_rules_simulation.played(plan, seed)
-    found = MUTANTS[mutant]
-    KEPT_LEASES.clear()
-    return fleet_rules_simulation.played(replace(plan, **found.plan), seed, found.broken)
+    kind = MUTANTS[mutant]
+    SAVED_LEASES.clear()
+    return fleet_rules_simulation.played(replace(plan, **kind.plan), seed, kind.broken)
 
 
 def caught(name: str, seeds: range, base: FleetRulesPlan = FleetRulesPlan()) -> Iterator[Result]:
--- a/foxspread/lab/processes/fleet_rules_processes.py
+++ b/foxspread/lab/processes/fleet_rules_processes.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from foxspread.consensus.client import call
-from foxspread.fleet_rules import codec, compatibility
+from foxspread.fleet_rules import codec, compatibility, key_rules
 from foxspread.fleet_rules.lease_holder import Mode
 from foxspread.fleet_rules.version_content import parse_version
 from foxspread.lab.processes.fleet import Fleet
-from foxspread.lab.processes.lease_holder_process import ActLine
+from foxspread.lab.processes.lease_holder_process import ActRecord
 from foxspread.lab.processes.random_versions import random_version
 from foxspread.lab.processes.real import ERRORS, Play
 from foxspread.lab.processes.scenario import Scenario
@@ -42,7 +42,7 @@
 
     at: float
     holder_id: str
-    line: ActLine
+    record: ActRecord
 
 
 @dataclass(frozen=True)
@@ -154,7 +154,7 @@
         return [
             name
             for name in self.sidecars
-            if name not in recent or (recent[name].line.mode, recent[name].line.phase) != wanted
+            if name not in recent or (recent[name].record.mode, recent[name].record.phase) != wanted
         ]
 
     # The run
@@ -163,7 +163,7 @@
         holder_id = (await reader.readline()).decode().strip()
         with contextlib.suppress(ConnectionError, ValueError):
             while line := await reader.readline():
-                self.acts.append(Act(self.now(), holder_id, ActLine(**json.loads(line))))
+                self.acts.append(Act(self.now(), holder_id, ActRecord(**json.loads(line))))
         writer.close()
 
     async def _write_versions(self) -> None:
@@ -242,7 +242,7 @@
                 await asyncio.gather(
                     self._write_versions(), self._draw_faults(), self._follow_script(), self.work()
                 )
-                unsettled = await self._await_settled()
+                unsettled = await self._await_convergence()
                 await self._fetch_texts()
             finally:
                 for sidecar in self.sidecars.values():
@@ -260,7 +260,7 @@
         self.began = self.play.begun = time.monotonic()
         await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars.values()))
 
-    async def _course(self) -> dict[str, Any]:
+    async def _rollout_status(self) -> dict[str, Any]:
         """GET /course, of the leader where one answers."""
         rows = []
         for child in self.fleet.children.values():
@@ -268,11 +268,11 @@
                 rows.append((await call(child.address, "GET", "/course", within=1.0)).value)
         return max(rows, key=lambda row: (row["leads"], row[codec.PHASE]), default={})
 
-    async def _await_settled(self) -> str:
+    async def _await_convergence(self) -> str:
         """Empty once all act on the version that is in force; else what is missing."""
         end, missing = time.monotonic() + self.scenario.settle, ""
         while time.monotonic() < end:
-            row = await self._course()
+            row = await self._rollout_status()
             behind = self.behind(row)
             if _rollout_over(row) and not behind:
                 return ""
@@ -282,7 +282,7 @@
         return missing
 
     async def _fetch_texts(self) -> None:
-        row = await self._course()
+        row = await self._rollout_status()
         for number in range(1, row.get("latest", 0) + 1):
             for child in self.fleet.children.values():
                 with contextlib.suppress(*ERRORS, KeyError, TypeError):
@@ -297,34 +297,36 @@
         result = RunResult(self.seed, [unsettled] if unsettled else [], self.events)
         first_acts: dict[int, Act] = {}  # by phase: the first act on a version alone
         for act in self.acts:
-            result.acts[act.line.mode] = result.acts.get(act.line.mode, 0) + 1
-            if act.line.mode == Mode.IN_FORCE.value:
-                first_acts.setdefault(act.line.phase, act)
+            result.acts[act.record.mode] = result.acts.get(act.record.mode, 0) + 1
+            if act.record.mode == Mode.IN_FORCE.value:
+                first_acts.setdefault(act.record.phase, act)
         steps = sorted(first_acts.items())
-        result.versions = len({act.line.in_force for act in first_acts.values()})
+        result.versions = len({act.record.in_force for act in first_acts.values()})
         for act in self.acts:
             known = [
-                first for phase, first in steps if first.at + LATE_SECONDS < act.at and phase > act.line.phase
+                first
+                for phase, first in steps
+                if first.at + LATE_SECONDS < act.at and phase > act.record.phase
             ]
             if known and (
-                act.line.mode != Mode.IN_FORCE.value or known[-1].line.in_force != act.line.in_force
+                act.record.mode != Mode.IN_FORCE.value or known[-1].record.in_force != act.record.in_force
             ):
                 self._judge_act(result, act, known[-1])
         return result
 
     def _judge_act(self, result: RunResult, act: Act, first: Act) -> None:
         """An act after the first one on a version of a later phase."""
-        number, after = first.line.in_force, act.at - first.at
+        number, after = first.record.in_force, act.at - first.at
         rules = parse_version(self.texts[number]).rules
-        for path, text in compatibility.violations(act.line.rules, rules):
-            if compatibility.is_switch(path):
+        for path, text in compatibility.violations(act.record.rules, rules):
+            if key_rules.is_switch(path):
                 longest = result.longest_violations.get(path, 0.0)
                 result.longest_violations[path] = max(longest, after)
                 if after <= self.scenario.lease * DRIFT + LATE_SECONDS:
                     continue
             if len(result.faults) < MAX_FAULTS:
                 result.faults.append(
-                    f"{act.holder_id} {act.line.mode} in phase {act.line.phase}, {after:.3f} s after the "
+                    f"{act.holder_id} {act.record.mode} in phase {act.record.phase}, {after:.3f} s after the "
                     f"first act on version {number}, which is in force: {path} {text}"
                 )
 
--- a/foxspread/lab/processes/fleet_rules_simulation.py
+++ b/foxspread/lab/processes/fleet_rules_simulation.py
@@ -8,7 +8,7 @@
 
 from foxspread.consensus.coordinator import Answer
 from foxspread.consensus.messages import Snapshot
-from foxspread.fleet_rules import compatibility
+from foxspread.fleet_rules import compatibility, flat_rules, key_rules
 from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
 from foxspread.fleet_rules.lease_manager import LeaseManager
 from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
@@ -99,7 +99,7 @@
 
     violations: list[str]
     late_violations: list[str]
-    rules: compatibility.FlatRules
+    rules: flat_rules.FlatRules
 
 
 def observed(kind: type[LeaseManager]) -> type[LeaseManager]:
@@ -163,7 +163,7 @@
         process = self.processes.get(of) or self.chance.choice(list(self.processes.values()))
         self.told.append(f"{self.now:.3f} {kind} {process.id} {lasts:.3f}")
         if kind == "cars_cut":
-            self._cut_a_third(lasts)
+            self._partition_a_third(lasts)
         elif kind in ("car_silent", "car_in", "car_out"):
             out_of = [(process.id, node) for node in self.ids] if kind != "car_in" else []
             into = [(node, process.id) for node in self.ids] if kind != "car_out" else []
@@ -173,13 +173,13 @@
             self.clock.after(lasts, self._resume_process, process, process.run, self.now)
         elif kind == "car_restart" and not process.down:
             process.kill()
-            states = process.kept_states
+            states = process.saved_states
             kept = self.chance.choice((None, states[-1], self.chance.choice(states)))
             self.clock.after(min(lasts, MAX_DOWN_SECONDS), self._restart_process, process, kept)
         elif kind == "car_clock" and not process.down:
             self._change_rate(process)
 
-    def _cut_a_third(self, lasts: float) -> None:
+    def _partition_a_third(self, lasts: float) -> None:
         third = self.chance.sample(sorted(self.processes), max(1, len(self.processes) // 3))
         self.block([pair for one in third for node in self.ids for pair in ((one, node), (node, one))], lasts)
 
@@ -258,29 +258,29 @@
         verdict = self._verdict(effective.rules, in_force)
         after = self.now - next(step.at for step in self.steps if step.in_force == in_force)
         if verdict.violations:
-            self._note_violation(verdict.violations[0], after)
+            self._record_violation(verdict.violations[0], after)
             self.judge.found(
                 "in_force",
                 f"{sidecar.id} {effective.mode.value} in phase {effective.phase}, {after:.3f} s "
                 f"after: {verdict.violations[0]}",
             )
         for text in verdict.late_violations:
-            self._note_violation(text, after)
+            self._record_violation(text, after)
             if after > self.plan.terms.contradiction_bound():
                 self.judge.found("bound", f"{sidecar.id} {effective.mode.value}, {after:.3f} s after: {text}")
 
-    def _verdict(self, acting: compatibility.FlatRules, in_force: int) -> Verdict:
+    def _verdict(self, acting: flat_rules.FlatRules, in_force: int) -> Verdict:
         key = (id(acting), in_force)
         if key not in self.verdicts:
             rules = self.checked(self.texts[in_force]).rules
             violations, late = [], []
             for path, text in compatibility.violations(acting, rules):
                 row = f"{path} {text}, version {in_force} is in force"
-                (late if compatibility.is_switch(path) else violations).append(row)
+                (late if key_rules.is_switch(path) else violations).append(row)
             self.verdicts[key] = Verdict(violations, late, acting)
         return self.verdicts[key]
 
-    def _note_violation(self, text: str, after: float) -> None:
+    def _record_violation(self, text: str, after: float) -> None:
         path = text.partition(" ")[0]
         self.longest_violations[path] = max(self.longest_violations.get(path, 0.0), after)
 
--- a/foxspread/lab/processes/lease_holder_process.py
+++ b/foxspread/lab/processes/lease_holder_process.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class ActLine:
+class ActRecord:
     """An act as its server sees it, a line of JSON."""
 
     mode: str
@@ -102,15 +102,15 @@
         decided = holder.effective(clock())
         if chance.random() < SLEEP_SHARE:
             await asyncio.sleep(chance.expovariate(SLEEPS_A_SECOND))
-        line = act_line(decided, holder).encoded()  # made before the look: it takes a while
+        line = act_record(decided, holder).encoded()  # made before the look: it takes a while
         if decided.mode is not Mode.NONE and holder.may_act(clock(), decided):
             writer.write(line)
             await writer.drain()
 
 
-def act_line(decided: EffectiveRules, holder: LeaseHolder) -> ActLine:
+def act_record(decided: EffectiveRules, holder: LeaseHolder) -> ActRecord:
     """An act under what was decided."""
-    return ActLine(decided.mode.value, decided.phase, holder.in_force, decided.rules)
+    return ActRecord(decided.mode.value, decided.phase, holder.in_force, decided.rules)
 
 
 if __name__ == "__main__":
--- a/foxspread/lab/processes/simulated_sidecar.py
+++ b/foxspread/lab/processes/simulated_sidecar.py
@@ -42,7 +42,7 @@
         self.stalled: list[Callable[[], None]] | None = None
         self.target = chance.choice(world.ids)
         self.wake: int | None = None
-        self.kept_states: list[AloneState | None] = []
+        self.saved_states: list[AloneState | None] = []
 
     @property
     def renewal(self) -> LeaseRenewal:
@@ -57,7 +57,7 @@
         """What each start has in common."""
         self.run, self.down, self.stalled, self.wake = self.run + 1, False, None, None
 
-    def next_act_later(self) -> None:
+    def schedule_next_act(self) -> None:
         """The next act comes at a random moment."""
         self.world.clock.after(self.chance.expovariate(self.world.plan.acts), self.act, self.run)
 
@@ -142,13 +142,13 @@
             kept,
         )
         self.watch()
-        self.next_act_later()
+        self.schedule_next_act()
         self.renew()
 
     def kill(self) -> None:
         """Ends the process; what it had kept stays."""
         if not self.down:
-            self.kept_states.append(self.holder.alone_state())
+            self.saved_states.append(self.holder.alone_state())
             self.down = True
 
     def send_request(self, request: LeaseRequest) -> None:
@@ -214,7 +214,7 @@
         """Decides, and acts at once or after a sleep that it doesn't notice."""
         if run != self.run or self.down:
             return
-        self.next_act_later()
+        self.schedule_next_act()
         if self.stalled is None:
             decided = self.holder.effective(self.local())
             sleeps = self.chance.random() < self.world.plan.sleep_share
--- a/foxspread/lab/processes/singleton_explorer.py
+++ b/foxspread/lab/processes/singleton_explorer.py
@@ -128,10 +128,10 @@
     twin.table.restore(state.table.saved())
     twin.holders = {}
     for id, holder in state.holders.items():
-        twin.holders[id] = again = copy.copy(holder)
-        again.roles, again.released_tokens = dict(holder.roles), dict(holder.released_tokens)
-        again.unconfirmed_releases = dict(holder.unconfirmed_releases)
-        again.requested_back = set(holder.requested_back)
+        twin.holders[id] = copied = copy.copy(holder)
+        copied.roles, copied.released_tokens = dict(holder.roles), dict(holder.released_tokens)
+        copied.unconfirmed_releases = dict(holder.unconfirmed_releases)
+        copied.to_release = set(holder.to_release)
     twin.disk = dict(state.disk)
     twin.guard = copy.copy(state.guard)
     known = state.guard.highest_tokens
@@ -186,13 +186,13 @@
     def __init__(self, case: Case, parts: Parts | None = None) -> None:
         self.case, self.parts = case, parts or Parts()
 
-    def _holder(self, id: str, now: float) -> RoleLeaseHolder:
+    def _new_holder(self, id: str, now: float) -> RoleLeaseHolder:
         return self.parts.holder(now, id, (ROLE,), lambda: 0.5, 0.0)
 
     def first(self) -> State:
         """Two instances, and nobody holds the role."""
         disk: dict[str, int] = {}
-        holders = {id: self._holder(id, 0.0) for id in ("a/1", "b/1")}
+        holders = {id: self._new_holder(id, 0.0) for id in ("a/1", "b/1")}
         return State(0.0, LeaseTable(), holders, self.parts.guard({}, disk.__setitem__), disk)
 
     def _left(self, state: State, what: str) -> bool:
@@ -241,7 +241,7 @@
 
     def _instance_steps(self, state: State, id: str) -> Iterator[Transition[State]]:
         if self._left(state, "asks"):
-            yield self._ask(state, id)
+            yield self._request(state, id)
         token = state.holders[id].fencing_token(state.now, ROLE)
         if not token:
             return
@@ -264,7 +264,7 @@
                 yield Transition(f"{id} intends {intent}", twin)
         yield from self._open_intents(state, id, token)
 
-    def _ask(self, state: State, id: str) -> Transition[State]:
+    def _request(self, state: State, id: str) -> Transition[State]:
         twin = self._after(state, "asks")
         released = tuple(state.holders[id].unconfirmed_releases.items())
         request = RoleLeaseRequest(id, state.now, (ROLE,), released)
@@ -304,8 +304,8 @@
         for id in state.holders:
             twin = self._after(state, "crashes")
             del twin.holders[id]
-            again = f"{id[0]}/{int(id[2:]) + 1}"
-            twin.holders[again] = self._holder(again, state.now)
+            restarted = f"{id[0]}/{int(id[2:]) + 1}"
+            twin.holders[restarted] = self._new_holder(restarted, state.now)
             twin.answers = tuple(each for each in state.answers if each.instance != id)
             twin.stopped = tuple(each for each in state.stopped if each.instance != id)
             yield Transition(f"{id} crashes", twin)
@@ -373,7 +373,7 @@
     "unguarded": ("orders", Parts(guard=singleton_mutants.Unguarded)),
     "from_answer": ("orders", Parts(holder=singleton_mutants.FromAnswer)),
     "repeats": ("intents", Parts(repeats=True)),
-    "takes_back": ("yields", Parts(holder=singleton_mutants.TakesBack)),
+    "takes_back": ("yields", Parts(holder=singleton_mutants.ForgetsRelease)),
     "trusting": ("wiped", Parts(guard=singleton_mutants.Trusting)),
 }
 
--- a/foxspread/lab/processes/singleton_instance.py
+++ b/foxspread/lab/processes/singleton_instance.py
@@ -120,13 +120,13 @@
             self.local(), f"{self.id}/{self.run}", ROLES, self.chance.random, self.world.plan.terms.drift
         )
         self.effect_count = 0
-        self.next_act_later()
+        self.schedule_next_act()
         self.renew()
 
     def kill(self) -> None:
         """Ends the process."""
         if not self.down:
-            self.kept_states.append(None)
+            self.saved_states.append(None)
             self.down = True
 
     def send_request(self, request: RoleLeaseRequest) -> None:
@@ -140,7 +140,7 @@
         """A grant; roles that are requested back are released at once."""
         if answer.status is Status.DONE and isinstance(answer.value, RoleLeaseGrant):
             self.holder.on_grant(self.local(), reply.request, answer.value)
-            for role in sorted(self.holder.requested_back):
+            for role in sorted(self.holder.to_release):
                 self.holder.release(role)
                 self.holder.request_now(self.local())
 
@@ -148,25 +148,27 @@
         """Acts for one of its roles."""
         if run != self.run or self.down:
             return
-        self.next_act_later()
+        self.schedule_next_act()
         if self.stalled is None and (mine := self.holder.active_roles(self.local())):
             role = self.chance.choice(mine)
             token = self.holder.fencing_token(self.local(), role)
             if role == PAY:
                 self.pay(token)
             else:
-                self.later(lambda: self.order(role, token))
+                self.after_sleep(lambda: self.order(role, token))
 
-    def later(self, call: Callable[[], None]) -> None:
+    def after_sleep(self, call: Callable[[], None]) -> None:
         """At once, or after a sleep that nobody sees."""
         sleeps = self.chance.random() < self.world.plan.sleep_share
-        self.world.clock.after(self.chance.expovariate(1.0) if sleeps else 0.0, self._later, self.run, call)
+        self.world.clock.after(
+            self.chance.expovariate(1.0) if sleeps else 0.0, self._resume_call, self.run, call
+        )
 
-    def _later(self, run: int, call: Callable[[], None]) -> None:
+    def _resume_call(self, run: int, call: Callable[[], None]) -> None:
         if run != self.run or self.down:
             return
         if self.stalled is not None:
-            self.stalled.append(lambda: self._later(run, call))
+            self.stalled.append(lambda: self._resume_call(run, call))
         else:
             call()
 
@@ -213,7 +215,7 @@
 
         def recorded(against: str) -> None:
             if not against:
-                self.later(in_time)
+                self.after_sleep(in_time)
 
         self.write(record, recorded)
 
--- a/foxspread/lab/processes/singleton_mutants.py
+++ b/foxspread/lab/processes/singleton_mutants.py
@@ -7,7 +7,7 @@
 from foxspread.lab.processes import singleton_simulation
 from foxspread.lab.processes.singleton_simulation import OTHER_FAULTS, Broken, Result, SingletonPlan
 from foxspread.singleton.fencing import FencingGuard
-from foxspread.singleton.lease_holder import NOT_HELD, RoleLeaseHolder, RoleLeaseRequest
+from foxspread.singleton.lease_holder import NO_LEASE, RoleLeaseHolder, RoleLeaseRequest
 from foxspread.singleton.lease_manager import RoleLeaseManager
 
 
@@ -16,8 +16,8 @@
 
     def fencing_token(self, now: float, role: str) -> int:
         """As if the lease ran for three seconds more."""
-        held = self.roles.get(role, NOT_HELD)
-        return held.token if now < held.until + 3.0 else 0
+        lease = self.roles.get(role, NO_LEASE)
+        return lease.token if now < lease.until + 3.0 else 0
 
 
 class FromAnswer(RoleLeaseHolder):
@@ -27,7 +27,7 @@
         return now + seconds
 
 
-class TakesBack(RoleLeaseHolder):
+class ForgetsRelease(RoleLeaseHolder):
     """A late answer gives it back what it has released."""
 
     def release(self, role: str) -> None:
@@ -36,7 +36,7 @@
         self.released_tokens.clear()
 
 
-class NoPause(RoleLeaseManager):
+class NoDelay(RoleLeaseManager):
     """Assigns a role whose holder is suspected to the next at once."""
 
     def _reassignment_delay(self, lease: float) -> float:
@@ -93,12 +93,12 @@
     "trusting": Mutant(
         Broken(guard=Trusting), ("fenced",), {"faults": (*PROCESS_FAULTS, *OTHER_FAULTS), **BUSY}
     ),
-    "no_pause": Mutant(Broken(manager=NoPause), ("one_acts",), {"faults": PROCESS_FAULTS}),
+    "no_pause": Mutant(Broken(manager=NoDelay), ("one_acts",), {"faults": PROCESS_FAULTS}),
     "checks_early": Mutant(Broken(holder=ChecksEarly), ("one_acts",), {"faults": PROCESS_FAULTS}),
     "from_answer": Mutant(
         Broken(holder=FromAnswer), ("one_acts",), {"faults": ("held", *PROCESS_FAULTS), "most": 16}
     ),
-    "takes_back": Mutant(Broken(holder=TakesBack), ("one_acts",), {"faults": ("held", "wish"), **BUSY}),
+    "takes_back": Mutant(Broken(holder=ForgetsRelease), ("one_acts",), {"faults": ("held", "wish"), **BUSY}),
     "unverified": Mutant(
         Broken(manager=Unverified), ("one_acts",), {"faults": ("silent", "silent_in", "split")}
     ),
@@ -111,8 +111,8 @@
     """One seed with a broken part; empty: the sound ones."""
     if not mutant:
         return singleton_simulation.played(plan, seed)
-    found = MUTANTS[mutant]
-    return singleton_simulation.played(replace(plan, **found.plan), seed, found.broken)
+    mutant_kind = MUTANTS[mutant]
+    return singleton_simulation.played(replace(plan, **mutant_kind.plan), seed, mutant_kind.broken)
 
 
 def caught(name: str, seeds: range, base: SingletonPlan = SingletonPlan()) -> Result | None:
--- a/foxspread/singleton/lease_holder.py
+++ b/foxspread/singleton/lease_holder.py
@@ -25,23 +25,23 @@
 @dataclass(frozen=True)
 class RoleLeaseGrant:
     """By what was committed after the request came: `tokens` of the roles that the instance holds, and of
-    these, which are `requested_back`. `lease`: seconds from when the request was sent."""
+    these, which are `to_release`. `lease`: seconds from when the request was sent."""
 
     lease: float
     drift: float
     tokens: dict[str, int]
-    requested_back: tuple[str, ...] = ()
+    to_release: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
-class HeldRole:
+class RoleLease:
     """A role that an instance holds: its fencing token, and until when the lease may be relied on."""
 
     token: int
     until: float
 
 
-NOT_HELD = HeldRole(0, 0.0)
+NO_LEASE = RoleLease(0, 0.0)
 
 
 class RoleLeaseHolder(LeaseRenewal):
@@ -57,15 +57,15 @@
     ) -> None:
         super().__init__(now, holder_id, chance, drift)
         self.offers = tuple(offers)
-        self.roles: dict[str, HeldRole] = {}
+        self.roles: dict[str, RoleLease] = {}
         self.released_tokens: dict[str, int] = {}  # the highest token of each role that it has released
         self.unconfirmed_releases: dict[str, int] = {}  # said until they are known to be committed
-        self.requested_back: set[str] = set()  # to be released as soon as nothing of it is under way
+        self.to_release: set[str] = set()  # to be released as soon as nothing of it is under way
 
     def fencing_token(self, now: float, role: str) -> int:
         """The token to act under, 0 where it may not act for that role now."""
-        held = self.roles.get(role, NOT_HELD)
-        return held.token if now < held.until else 0
+        lease = self.roles.get(role, NO_LEASE)
+        return lease.token if now < lease.until else 0
 
     def active_roles(self, now: float) -> list[str]:
         """Those that it may act for now."""
@@ -73,7 +73,7 @@
 
     def release(self, role: str) -> None:
         """Nothing is done for it from here on, and another may have it at once."""
-        self.requested_back.discard(role)
+        self.to_release.discard(role)
         if role in self.roles:
             token = self.roles.pop(role).token
             self.released_tokens[role] = max(token, self.released_tokens.get(role, 0))
@@ -93,15 +93,15 @@
         until = self._expiry(request.sent_at, now, grant.lease)
         for role, token in grant.tokens.items():
             if token > self.released_tokens.get(role, 0):
-                self._hold(role, HeldRole(token, until))
+                self._accept(role, RoleLease(token, until))
         for role, token in list(self.unconfirmed_releases.items()):
             if (role, token) in request.released and grant.tokens.get(role) != token:
                 del self.unconfirmed_releases[role]
-        self.requested_back |= {role for role in grant.requested_back if role in self.roles}
-
-    def _hold(self, role: str, granted: HeldRole) -> None:
-        held = self.roles.get(role, NOT_HELD)
-        if granted.token > held.token:
-            self.roles[role] = HeldRole(granted.token, max(0.0, granted.until))
-        elif granted.token == held.token:
-            self.roles[role] = HeldRole(granted.token, max(held.until, granted.until))
+        self.to_release |= {role for role in grant.to_release if role in self.roles}
+
+    def _accept(self, role: str, granted: RoleLease) -> None:
+        lease = self.roles.get(role, NO_LEASE)
+        if granted.token > lease.token:
+            self.roles[role] = RoleLease(granted.token, max(0.0, granted.until))
+        elif granted.token == lease.token:
+            self.roles[role] = RoleLease(granted.token, max(lease.until, granted.until))
--- a/foxspread/singleton/lease_manager.py
+++ b/foxspread/singleton/lease_manager.py
@@ -183,8 +183,8 @@
         if request is None:
             return self.table.tokens()
         tokens = self.table.tokens_of(request.instance)
-        requested_back = tuple(role for role in tokens if self.table.roles[role].preferred)
-        return RoleLeaseGrant(self.terms.lease, self.terms.drift, tokens, requested_back)
+        to_release = tuple(role for role in tokens if self.table.roles[role].preferred)
+        return RoleLeaseGrant(self.terms.lease, self.terms.drift, tokens, to_release)
 
     # Steps of the leader
 
--- a/tests/fleet_rules/test_compatibility.py
+++ b/tests/fleet_rules/test_compatibility.py
@@ -4,9 +4,10 @@
 from hypothesis import strategies as st
 
 from foxspread.config import ConfigError
-from foxspread.fleet_rules import compatibility
-from foxspread.fleet_rules.compatibility import KEY_RULES, Merge, UnsupportedRuleError
+from foxspread.fleet_rules import compatibility, flat_rules, key_rules
 from foxspread.fleet_rules.coordinator_process import check_version
+from foxspread.fleet_rules.flat_rules import UnsupportedRuleError
+from foxspread.fleet_rules.key_rules import KEY_RULES, Merge
 from foxspread.fleet_rules.safety_check import unsafe_change
 from foxspread.fleet_rules.version_content import parse_version
 
@@ -19,7 +20,7 @@
         st.sampled_from(["docs", "pay", "extra"]),
         st.tuples(
             st.integers(1, 5),
-            st.sampled_from(compatibility.EFFECTS_BY_STRICTNESS),
+            st.sampled_from(key_rules.EFFECTS_BY_STRICTNESS),
             st.sampled_from(["cell", "zone"]),
         ),
         min_size=1,
@@ -67,7 +68,7 @@
             ("settings.categories.docs.key_scope", "cell", "zone", "cell"),
         ):
             with self.subTest(path):
-                self.assertEqual(compatibility.stricter(compatibility.rule_of(path), one, other), wanted)
+                self.assertEqual(compatibility.stricter(key_rules.rule_of(path), one, other), wanted)
 
     def test_every_key_says_how_it_is_seen_and_how_it_changes(self) -> None:
         for path, key in KEY_RULES.items():
@@ -115,11 +116,11 @@
     def test_between_two_lists_are_the_servers_that_are_the_same_in_both(self) -> None:
         old = parse_version(listed(("s.1", "a", 1), ("s2", "a", 1), ("s3", "b", 1))).rules
         new = parse_version(listed(("s.1", "a", 1), ("s2", "a", 2), ("s4", "b", 1))).rules
-        rows = {path for path in compatibility.transition(old, new) if path.startswith(compatibility.SERVERS)}
+        rows = {path for path in compatibility.transition(old, new) if path.startswith(flat_rules.SERVERS)}
         self.assertEqual({path for path in rows if path.endswith(".")}, {"lists.servers.s.1."})
-        self.assertEqual({compatibility.row_prefix(path) for path in rows}, {"lists.servers.s.1."})
-        self.assertEqual(compatibility.unflatten(old)["lists"]["servers"][0]["id"], "s.1")
-        self.assertEqual(compatibility.flatten(compatibility.unflatten(old)), old)
+        self.assertEqual({flat_rules.row_prefix(path) for path in rows}, {"lists.servers.s.1."})
+        self.assertEqual(flat_rules.unflatten(old)["lists"]["servers"][0]["id"], "s.1")
+        self.assertEqual(flat_rules.flatten(flat_rules.unflatten(old)), old)
 
     def test_from_discovery_to_a_list_and_back_the_old_one_holds_until_the_new_is_in_force(self) -> None:
         here, plain = parse_version(listed(("s1", "a", 1))).rules, parse_version(HEAD.encode()).rules
@@ -128,7 +129,7 @@
         self.assertEqual(compatibility.unbridged_changes(plain, here), ["lists.source"])
 
     def test_taken_out_by_either_and_named_by_both(self) -> None:
-        def told(lists: str) -> compatibility.FlatRules:
+        def told(lists: str) -> flat_rules.FlatRules:
             return parse_version(f"{HEAD}[lists]\n{lists}".encode()).rules
 
         one, other = told('taken_out = ["s2", "s1"]'), told('taken_out = ["s3"]\nonly = ["s4", "s5"]')
@@ -146,11 +147,11 @@
     def test_alone_it_sends_to_what_is_named_for_it(self) -> None:
         servers = (("s1", "a", 1), ("s2", "a", 1))
         nobody = parse_version(listed(*servers, more=ALONE))
-        self.assertFalse([path for path in nobody.alone if path.startswith(compatibility.SERVERS)])
+        self.assertFalse([path for path in nobody.alone if path.startswith(flat_rules.SERVERS)])
         text = listed(*servers, more=ALONE).replace(b"[lists]", b'[lists]\nalone = ["s1"]')
         one = parse_version(text)
         self.assertEqual(
-            {path for path in one.alone if path.startswith(compatibility.SERVERS) and path.endswith(".")},
+            {path for path in one.alone if path.startswith(flat_rules.SERVERS) and path.endswith(".")},
             {"lists.servers.s1."},
         )
         moved = parse_version(listed(("s1", "a", 2), ("s2", "a", 1))).rules
--- a/tests/fleet_rules/test_wire.py
+++ b/tests/fleet_rules/test_wire.py
@@ -13,10 +13,10 @@
 from foxspread.consensus.messages import encoded
 from foxspread.consensus.versions import Put
 from foxspread.fleet_rules import codec, lease_client
+from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
 from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess
 from foxspread.fleet_rules.lease_holder import LeaseHolder
-from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
-from foxspread.fleet_rules.lease_manager import HolderReport, HolderStatus
+from foxspread.fleet_rules.leader_state import HolderReport, HolderStatus
 from foxspread.fleet_rules.rollout import (
     AdmitHolders,
     Announce,
