--- a/foxspread/orchard/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -1,4 +1,4 @@
-"""`python -m foxspread.orchard.hollow.process FILE`: several hundred hollow sidecars in one event loop. It is
+"""`python -m foxspread.mesh.hollow.process FILE`: several hundred hollow sidecars in one event loop. It is
 told what to do by lines of JSON at its standard input, answers each by one, and ends with its input.
 """
 
@@ -13,10 +13,10 @@
 import orjson
 import uvloop
 
-from foxspread.orchard.hollow.meter import Meter
-from foxspread.orchard.hollow.sidecar import Hollow
-from foxspread.orchard.log import start
-from foxspread.orchard.settings import taken
+from foxspread.mesh.hollow.traffic_meter import Meter
+from foxspread.mesh.hollow.sidecar import Hollow
+from foxspread.mesh.log import configure_logging
+from foxspread.mesh.settings import settings_from
 
 MARKS_MOST = 2_000_000  # times that are kept until they are asked for; more are left out, and missed
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -37,7 +37,7 @@
         self.count = 0
         self.bare = resident()
         self.hollows = {
-            name: Hollow(loop, taken(settings), partial(self._mark, name))
+            name: Hollow(loop, settings_from(settings), partial(self._mark, name))
             for name, settings in told["sidecars"].items()
         }
 
@@ -74,8 +74,8 @@
     async def _look(self, told: dict[str, Any]) -> dict[str, Any]:
         """The least that any of them knows."""
         known = [self.hollows[name].knows() for name in told.get("nodes") or self.hollows]
-        items, records, links = (min(each[n] for each in known) for n in range(3))
-        return {"items": items, "records": records, "links": links, "at": time.monotonic()}
+        items, records, connections = (min(each[n] for each in known) for n in range(3))
+        return {"items": items, "records": records, "links": connections, "at": time.monotonic()}
 
     async def _meter(self, told: dict[str, Any]) -> dict[str, Any]:
         whole = Meter()
@@ -113,5 +113,5 @@
 
 
 if __name__ == "__main__":
-    start("hollow")
+    configure_logging("hollow")
     uvloop.run(run(sys.argv[1]))
--- a/foxspread/orchard/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -11,12 +11,12 @@
 
 import orjson
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.hollow.meter import Meter, MeteredLoop
-from foxspread.orchard.node import Node
-from foxspread.orchard.outcome import Failure
-from foxspread.orchard.registry.records import Record
-from foxspread.orchard.settings import Settings
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
+from foxspread.mesh.node import Node
+from foxspread.mesh.errors import Failure
+from foxspread.mesh.registry.endpoint_records import EndpointRecord
+from foxspread.mesh.settings import Settings
 
 BERTHS = 8  # of a server, until it says something else
 Mark = Callable[[str, float], None]  # what is known here now, and when (seconds, monotonic, of the machine)
@@ -80,7 +80,11 @@
     def knows(self) -> tuple[int, int, int]:
         """Items in force, records of sidecars and keepers, links."""
         node = self.node
-        return (0, 0, 0) if node is None else (len(node.copy.items), len(node.records.of), len(node.links))
+        return (
+            (0, 0, 0)
+            if node is None
+            else (len(node.learner.items), len(node.records.of), len(node.connections))
+        )
 
     def _marked(self, node: Node) -> None:
         put, take = node.table.put, node.records.take
@@ -89,7 +93,7 @@
             put(item)
             self.mark(f"{item.name}@{item.version}", time.monotonic())
 
-        def marked_take(now: float, new: Record) -> bool:
+        def marked_take(now: float, new: EndpointRecord) -> bool:
             taken = take(now, new)
             if taken:
                 for each in new.servers:
--- a/foxspread/orchard/registry/spread.py
+++ b/foxspread/mesh/registry/drain_propagation.py
@@ -12,17 +12,17 @@
 SPREAD_S = 0.7  # for others to learn of a drain, before the server is told that it is acknowledged
 
 
-class Spread:
+class DrainPropagation:
     """One wait. `guards`: whether the requests for the server pass this process."""
 
     def __init__(self, now: float, guards: bool) -> None:
         self.until, self.guards = now + SPREAD_S, guards
 
-    def outcome(self, now: float, know: int, linked: Collection[str], keepers: int) -> bool | None:
+    def outcome(self, now: float, know: int, linked: Collection[str], replicas: int) -> bool | None:
         """True: to be acknowledged; False: not now; None: to be asked again. `know`: linked keepers that have
         told that they know it; `linked`: keepers in contact with a majority that a link stands to; `keepers`:
         how many there are."""
-        if know and know >= min(len(linked), max(1, keepers // 2 + 1)):
+        if know and know >= min(len(linked), max(1, replicas // 2 + 1)):
             return True
         if now < self.until:
             return None
--- a/foxspread/orchard/simulation/operators.py
+++ b/foxspread/mesh/simulation/operators.py
@@ -2,13 +2,13 @@
 
 from typing import TYPE_CHECKING
 
-from foxspread.orchard.configuration.items import Item
-from foxspread.orchard.outcome import Failure, unsettled
-from foxspread.orchard.simulation.judge import BACK_S, Call
-from foxspread.orchard.simulation.machines import Machine
+from foxspread.mesh.configuration.items import Item
+from foxspread.mesh.errors import Failure, outcome_unknown
+from foxspread.mesh.simulation.invariants import BACK_S, Call
+from foxspread.mesh.simulation.machines import Machine
 
 if TYPE_CHECKING:
-    from foxspread.orchard.simulation.agreement import Fleet
+    from foxspread.mesh.simulation.fleet import Fleet
 
 SILENCE_S = 1.0  # after which an operator asks another
 GIVES_UP_S = 14.0
@@ -70,13 +70,13 @@
 
         def arrives() -> None:
             if not machine.up:
-                return answered(unsettled("nobody there"), {})
+                return answered(outcome_unknown("nobody there"), {})
             machine.does(lambda: None if over else machine.asked(call.items, told))
 
         world.after(world.within(0.0005, 0.004), arrives)
         world.after(SILENCE_S, next_try)
 
-    def copy(self, items: tuple[Item, ...], machine: Machine) -> None:
+    def learner(self, items: tuple[Item, ...], machine: Machine) -> None:
         """A copy of an order, sent long ago, that this machine reads only now."""
 
         def told(outcome: bool | Failure, held: dict) -> None:
--- a/tests/orchard/replication/test_replacement.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -7,12 +7,12 @@
 
 from testtools import TestCase
 
-from foxspread.orchard.configuration.items import LEASE, Item
-from foxspread.orchard.outcome import conflict, unsettled
-from foxspread.orchard.replication import replacement as r
-from foxspread.orchard.replication.contact import Report
-from foxspread.orchard.replication.copy import Copy
-from foxspread.orchard.replication.members import Members, members_of, one_step, quorum
+from foxspread.mesh.configuration.items import LEASE, Item
+from foxspread.mesh.errors import conflict, outcome_unknown
+from foxspread.mesh.replication import reconfiguration as r
+from foxspread.mesh.replication.quorum_contact import Report
+from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
 
 TICK_S = 0.1
 
@@ -24,23 +24,30 @@
 
     def __init__(self, keepers: str, machines: int = 1, zones: int = 0, fate: dict | None = None) -> None:
         self.names, self.now, self.machines, self.zones = keepers.split(), 50.0, machines, zones
-        self.members, self.lease = Members(0, tuple(sorted(self.names[:3]))), None
+        self.members, self.lease = MemberSet(0, tuple(sorted(self.names[:3]))), None
         self.up, self.leaving, self.mute = set(self.names), set(), set()
         self.behind: dict[str, int] = {}  # keepers whose copy stays at an epoch
         self.lags: set[str] = set()  # keepers that lack what was settled after it
         self.deaf: set[str] = set()  # "ab": a does not hear b
         self.heard = {name: self.now for name in self.names}
         self.reports: dict[str, tuple[float, Report]] = {}
-        self.cores = {name: r.Replacement(name, f"{name}+1", lambda: 0.5) for name in self.names}
+        self.cores = {name: r.Reconfiguration(name, f"{name}+1", lambda: 0.5) for name in self.names}
         self.log: list[tuple[float, str, tuple[str, ...]]] = []  # changes: when, by whom, the set
         self.calls: list[tuple[str, list[Item]]] = []
         self.fate, self.asked, self.at_epoch = fate or {}, 0, {}
         self.least = 3
 
-    def view(self, name: str, age: float | None = 0.1) -> r.View:
-        upto = (self.members.epoch, "+")
-        return r.View(
-            name, self.members, self.lease, dict(self.reports), upto, self.machines, self.zones, age
+    def view(self, name: str, age: float | None = 0.1) -> r.ClusterView:
+        committed_number = (self.members.epoch, "+")
+        return r.ClusterView(
+            name,
+            self.members,
+            self.lease,
+            dict(self.reports),
+            committed_number,
+            self.machines,
+            self.zones,
+            age,
         )
 
     def tick(self, stay: str = "") -> None:
@@ -51,9 +58,11 @@
         hears = tuple(sorted(n for n, at in self.heard.items() if self.now - at <= 1.0))
         for name in sorted(self.up):
             epoch = self.behind.get(name, self.members.epoch)
-            upto = (epoch, "" if name in self.lags else "+")
+            committed_number = (epoch, "" if name in self.lags else "+")
             heard = tuple(each for each in hears if name[0] + each[0] not in self.deaf)
-            told = Report(name, name not in self.mute, epoch, upto, upto, name[1:], hears=heard)
+            told = Report(
+                name, name not in self.mute, epoch, committed_number, committed_number, name[1:], hears=heard
+            )
             self.reports[name] = self.now, replace(told, leaving=name in self.leaving)
         for name in sorted(self.up - set(stay.split())):
             if (items := self.cores[name].step(self.now, self.view(name))) is not None:
@@ -62,19 +71,19 @@
         for name, items in calls:
             self.asked += 1
             fate = self.fate.get(self.asked, "")
-            outcome = unsettled("lost") if fate == "lost" else self.put(name, items)
-            self.cores[name].told(self.now, outcome if fate != "told late" else unsettled("late"))
+            outcome = outcome_unknown("lost") if fate == "lost" else self.put(name, items)
+            self.cores[name].told(self.now, outcome if fate != "told late" else outcome_unknown("late"))
 
     def put(self, name: str, items: list[Item]):
         lease, *change = items
         if lease.kind != LEASE or lease.version != (self.lease.version if self.lease else 0) + 1:
             return conflict("lease")
-        sets = [self.members, *map(members_of, change)]
-        if not quorum(sets, self.up - self.mute):
-            return unsettled("no majority")
+        sets = [self.members, *map(member_set_of, change)]
+        if not is_quorum(sets, self.up - self.mute):
+            return outcome_unknown("no majority")
         self.lease = lease
         for new in sets[1:]:
-            assert new.epoch == self.members.epoch + 1 and one_step(self.members, new), "one step"
+            assert new.epoch == self.members.epoch + 1 and differs_by_one(self.members, new), "one step"
             assert set(change[0].content["disks"]) <= set(new.of), "the disks of its members"
             came = set(new.of) - set(self.members.of)
             assert not came & (self.mute | set(self.behind) | self.leaving), "no candidate"
@@ -155,14 +164,14 @@
         self.assertEqual("a1 c3 d1", field.run(1).of())
 
     def test_sizes(self) -> None:
-        found = {case: r.wanted(*case[:2], {n: n for n in "abcdefg"[: case[2]]}) for case in SIZES}
+        found = {case: r.target_size(*case[:2], {n: n for n in "abcdefg"[: case[2]]}) for case in SIZES}
         self.assertEqual(SIZES, found)
 
     def test_seeds_of_one_zone_are_spread(self) -> None:
         field = Field("a1 b1 c1 d2 e3").run(12)
         self.assertEqual({"1", "2", "3"}, {name[1] for name in field.members.of})
-        settled = len(field.log)
-        self.assertEqual((3, settled), (len(field.members.of), len(field.run(60).log)))
+        committed = len(field.log)
+        self.assertEqual((3, committed), (len(field.members.of), len(field.run(60).log)))
 
 
 # machines, zones to be borne, zones there: members
@@ -247,21 +256,21 @@
 class Wiring(TestCase):
     def test_what_a_node_hands_in_and_where_a_call_goes(self) -> None:
         # The reports of others as contact has them, this one's own as of now, the lease as settled.
-        copy, put = Copy(), []
+        learner, put = Learner(), []
         held = Item(LEASE, "members", 4, {"holder": "c3", "life": "c3+1"})
-        copy.fold((7, "c"), [(held, (7, "c"))])
+        learner.fold((7, "c"), [(held, (7, "c"))])
         told = {n: Report(n, True, 2, (7, "c"), (7, "c"), n[1:], hears=("a1", "c3", "d1")) for n in HEARD}
         told["d1"] = replace(told["d1"], zone="2")
         heard = {name: (told[name], 10.0) for name in ("c3", "d1")}
-        members, core = Members(2, ("a1", "b2", "c3")), r.Replacement("a1", "a1+1", lambda: 0.0)
+        members, core = MemberSet(2, ("a1", "b2", "c3")), r.Reconfiguration("a1", "a1+1", lambda: 0.0)
         for tick in range(60):
             now = 10.0 + tick * TICK_S
             heard = {name: (report, now) for name, (report, _) in heard.items()}
-            view = r.View.of(now, told["a1"], members, copy, heard, 0.0, 1, 0)
+            view = r.ClusterView.of(now, told["a1"], members, learner, heard, 0.0, 1, 0)
             core.tend(lambda now=now: now, view, lambda items, tell: put.append((items, tell)))
         self.assertEqual([Item(LEASE, "members", 5, {"holder": "a1", "life": "a1+1"})], put[0][0])
         self.assertEqual(1, len(put))  # one under way at the most
-        put[0][1](unsettled("lost"))
+        put[0][1](outcome_unknown("lost"))
         self.assertIsNone(core.asked)
 
 
@@ -318,7 +327,7 @@
                 field.run(0.8).down(name).run(1.0)
                 field.leaving = set()
                 field.up.add(name)
-                field.cores[name] = r.Replacement(name, f"{name}+2", lambda: 0.5)
+                field.cores[name] = r.Reconfiguration(name, f"{name}+2", lambda: 0.5)
             field.run(10)
             self.assertEqual((keepers, 3), (keepers, len(set(field.members.of) & field.up)))
 
@@ -355,7 +364,7 @@
             mine = core.step(field.now, view)
             theirs = field.cores[other].step(field.now, field.view(other))
             if mine is not None:
-                core.told(field.now, unsettled("lost"))
+                core.told(field.now, outcome_unknown("lost"))
             since = field.now - at
             if mine is not None and len(mine) > 1:
                 self.assertTrue(since < r.LEASE_S - r.SPARE_S, since)
