--- a/tests/fleet_rules/test_compatibility.py
+++ b/tests/fleet_rules/test_compatibility.py
@@ -1,3 +1,5 @@
+"""What two versions have in common, and what one forbids of the other."""
+
 import unittest
 
 from hypothesis import given, settings
@@ -45,7 +47,7 @@
 class Keys(unittest.TestCase):
     @settings(max_examples=150, deadline=None)
     @given(VERSIONS, VERSIONS)
-    def test_what_lies_between_is_allowed_by_both(self, one: bytes, other: bytes) -> None:
+    def test_a_transition_is_allowed_by_both(self, one: bytes, other: bytes) -> None:
         old, new = parse_version(one).rules, parse_version(other).rules
         between = compatibility.transition(old, new)
         switches = set(compatibility.unbridged_changes(old, new))
@@ -70,14 +72,14 @@
             with self.subTest(path):
                 self.assertEqual(compatibility.stricter(key_rules.rule_of(path), one, other), wanted)
 
-    def test_every_key_says_how_it_is_seen_and_how_it_changes(self) -> None:
+    def test_every_key_says_how_a_contradiction_shows_and_how_it_changes(self) -> None:
         for path, key in KEY_RULES.items():
             self.assertTrue(key.contradiction, path)
             self.assertIsInstance(key.merge, Merge)
 
     def test_refused_by_name(self) -> None:
         row = '[[settings.categories]]\nname = "docs"\nabandon_time_us = 5\n'
-        for told, fault in (
+        for rules, fault in (
             (f'[settings]\naz = "a"\n{row}', "'settings.az' is each sidecar's own"),
             (
                 '[settings]\n[[settings.categories]]\nname = "docs"',
@@ -96,7 +98,7 @@
             ),
         ):
             with self.subTest(fault), self.assertRaisesRegex((ConfigError, UnsupportedRuleError), fault):
-                check_version(told.encode())
+                check_version(rules.encode())
 
 
 HEAD = '[settings]\n[[settings.categories]]\nname = "docs"\nabandon_time_us = 5\n'
@@ -129,15 +131,18 @@
         self.assertEqual(compatibility.unbridged_changes(plain, here), ["lists.source"])
 
     def test_taken_out_by_either_and_named_by_both(self) -> None:
-        def told(lists: str) -> flat_rules.FlatRules:
+        def listed_rules(lists: str) -> flat_rules.FlatRules:
             return parse_version(f"{HEAD}[lists]\n{lists}".encode()).rules
 
-        one, other = told('taken_out = ["s2", "s1"]'), told('taken_out = ["s3"]\nonly = ["s4", "s5"]')
-        found = compatibility.transition(one, other)
-        self.assertEqual(found["lists.taken_out"], ["s1", "s2", "s3"])
-        self.assertEqual(found["lists.only"], ["s4", "s5"])
+        one, other = (
+            listed_rules('taken_out = ["s2", "s1"]'),
+            listed_rules('taken_out = ["s3"]\nonly = ["s4", "s5"]'),
+        )
+        merged = compatibility.transition(one, other)
+        self.assertEqual(merged["lists.taken_out"], ["s1", "s2", "s3"])
+        self.assertEqual(merged["lists.only"], ["s4", "s5"])
         for rules in (one, other):
-            self.assertTrue(all(compatibility.allows(path, value, rules) for path, value in found.items()))
+            self.assertTrue(all(compatibility.allows(path, value, rules) for path, value in merged.items()))
         self.assertFalse(compatibility.allows("lists.taken_out", [], one))
         self.assertFalse(compatibility.allows("lists.only", "all", other))
 
@@ -183,7 +188,7 @@
             with self.subTest(fault), self.assertRaisesRegex((ConfigError, UnsupportedRuleError), fault):
                 check_version(f"{HEAD}[lists]\n{lists}".encode())
 
-    def test_what_may_not_have_been_meant(self) -> None:
+    def test_unsafe_changes(self) -> None:
         many = [(f"s{at}", "ab"[at % 2], 1) for at in range(8)]
         old = parse_version(listed(*many)).rules
         for new, fault in (
--- a/tests/fleet_rules/test_processes.py
+++ b/tests/fleet_rules/test_processes.py
@@ -1,18 +1,18 @@
-"""Real coordinators, and what follows them: commands as typed, and processes with faults between them."""
+"""Real coordinators and what follows them: commands as typed, and processes with faults between them."""
 
 import asyncio
 import json
 import random
 import unittest
-from typing import Any
+from collections.abc import Callable
 
 from click.testing import CliRunner, Result
 
 from foxspread.cli.main import foxspread
 from foxspread.consensus.clock import Clock
 from foxspread.fleet_rules.lease_client import LeaseClient
-from foxspread.fleet_rules.lease_holder import LeaseHolder, Mode
-from foxspread.fleet_rules.version_content import parse_version
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
+from foxspread.fleet_rules.version_content import VersionContent, parse_version
 from foxspread.lab.processes import end_to_end, fleet_rules_processes
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.scenario import Scenario
@@ -23,107 +23,126 @@
 name = "docs"
 abandon_time_us = 1500000
 [settings.limits]
-max_hand_offs = {hands}
+max_hand_offs = {hand_offs}
 """
+LIMIT = "settings.limits.max_hand_offs"
+CHECKS = (parse_version, parse_version)
 
 
-def picky(text: bytes) -> Any:
-    """An older build, which knows no more than eight hand-offs."""
-    found = parse_version(text)
-    if found.rules["settings.limits.max_hand_offs"] > 8:
+def check_of_an_older_build(text: bytes) -> VersionContent:
+    """It knows no more than eight hand-offs."""
+    content = parse_version(text)
+    if content.rules[LIMIT] > 8:
         raise ValueError("'settings.limits.max_hand_offs' must be at most 8, not 9")
-    return found
+    return content
 
 
 class Commands(unittest.TestCase):
-    def test_put_status_bound_wait_and_a_version_that_one_turns_down(self) -> None:
-        async def main() -> None:
-            async with Fleet(Scenario("agreed", lease=1.0, alone=2.0), 1) as fleet:
-                at = [relay.address for relay in fleet.writers.values()]
-                clock, chance = Clock(), random.Random(1).random
-                checks = [parse_version, parse_version, picky]
-                clients = [
-                    LeaseClient(LeaseHolder(clock(), f"s{each}/1", check, chance), clock, at, chance)
-                    for each, check in enumerate(checks)
-                ]
-                file = fleet.folder / "rules.toml"
-
-                async def run(*words: str) -> Result:
-                    told = {"FOXSPREAD_COORDINATORS": ",".join(map(str, at))}
-                    return await asyncio.to_thread(CliRunner().invoke, foxspread, ("rules", *words), env=told)
-
-                async def put(hands: int) -> None:
-                    file.write_text(TEXT.format(hands=hands))
-                    self.assertEqual((await run("put", str(file))).exit_code, 0)
-
-                await put(3)
-                done = await run("wait", "1", "--settled")
-                self.assertEqual((done.exit_code, done.output), (0, "version 1 is in force\n"))
-                acting = [each.holder.effective(clock()) for each in clients]
-                self.assertEqual({each.mode for each in acting}, {Mode.IN_FORCE})
-                self.assertEqual({each.rules["settings.limits.max_hand_offs"] for each in acting}, {3})
-                await put(9)
-                turned = await run("wait", "2")
-                self.assertEqual(turned.exit_code, 1)
-                self.assertIn(
-                    "version 2 was withdrawn: s2/1: 'settings.limits.max_hand_offs' must be at most 8",
-                    turned.output,
-                )
-                await put(5)
-                self.assertEqual((await run("wait", "3", "--settled")).exit_code, 0)
-                file.write_text(TEXT.format(hands=9))
-                self.assertEqual((await run("put", str(file), "--allow-refusals", "1")).exit_code, 0)
-                self.assertEqual((await run("wait", "4")).exit_code, 0)  # a lease later: s2 can't confirm
-                while clients[0].holder.rules["settings.limits.max_hand_offs"] != 9:  # it is being told
-                    await asyncio.sleep(0.01)
-                self.assertEqual(clients[2].holder.effective(clock()).mode, Mode.NONE)
-                file.write_text(TEXT.format(hands=5))
-                await run("put", str(file))
-                self.assertEqual((await run("wait", "5", "--settled")).exit_code, 0)
-                file.write_text(TEXT.format(hands=5) + "[lists]\nonly = []\n")
-                refused = await run("put", str(file))
-                self.assertEqual(refused.exit_code, 1)
-                self.assertIn("it leaves no server: put it with --even-so", refused.output)
-                self.assertEqual((await run("put", str(file), "--even-so")).exit_code, 0)
-                file.write_text(TEXT.format(hands=5))
-                await run("put", str(file))
-                self.assertEqual((await run("wait", "7", "--settled")).exit_code, 0)
-                status = await run("status")
-                for text in ("in force 7", "withdrawn 2", "s0/1  confirmed"):
-                    self.assertIn(text, status.output)
-                bounds = json.loads((await run("bound", "--json")).output)
-                self.assertEqual(
-                    (bounds["settings.limits.max_hand_offs"], bounds["settings.categories.*.key_scope"]),
-                    (0.0, 1.02),
-                )
-                for (
-                    child
-                ) in fleet.children.values():  # nobody is left to ask: it goes alone, which here is nothing
-                    await child.end()
-                while clients[0].holder.effective(clock()).mode is not Mode.NONE:
-                    await asyncio.sleep(0.02)
-                for each in clients:
-                    await each.close()
-
-        asyncio.run(asyncio.wait_for(main(), 60))
+    """`foxspread rules` on three coordinators, with two lease clients and one of an older build."""
+
+    def test_put_status_bound_wait_and_a_version_that_one_refuses(self) -> None:
+        asyncio.run(asyncio.wait_for(self.main(), 60))
+
+    async def main(self) -> None:
+        async with Fleet(Scenario("agreed", lease=1.0, alone=2.0), 1) as fleet:
+            self.fleet, self.clock, chance = fleet, Clock(), random.Random(1).random
+            self.file = fleet.folder / "rules.toml"
+            self.addresses = [relay.address for relay in fleet.writers.values()]
+            checks: list[Callable[[bytes], VersionContent]] = [*CHECKS, check_of_an_older_build]
+            holders = [
+                LeaseHolder(self.clock(), f"s{number}/1", check, chance)
+                for number, check in enumerate(checks)
+            ]
+            self.clients = [LeaseClient(each, self.clock, self.addresses, chance) for each in holders]
+            await self.first_version()
+            await self.refused_version()
+            await self.allowed_refusal()
+            await self.unsafe_version()
+            await self.status_and_bound()
+            await self.coordinators_end()
+            for client in self.clients:
+                await client.close()
+
+    async def run_command(self, *words: str) -> Result:
+        environment = {"FOXSPREAD_COORDINATORS": ",".join(map(str, self.addresses))}
+        return await asyncio.to_thread(CliRunner().invoke, foxspread, ("rules", *words), env=environment)
+
+    async def put(self, hand_offs: int, *options: str, more: str = "") -> Result:
+        self.file.write_text(TEXT.format(hand_offs=hand_offs) + more)
+        return await self.run_command("put", str(self.file), *options)
+
+    def effective(self, number: int) -> EffectiveRules:
+        return self.clients[number].holder.effective(self.clock())
+
+    async def first_version(self) -> None:
+        self.assertEqual((await self.put(3)).exit_code, 0)
+        done = await self.run_command("wait", "1", "--settled")
+        self.assertEqual((done.exit_code, done.output), (0, "version 1 is in force\n"))
+        effective = [self.effective(number) for number in range(3)]
+        self.assertEqual({each.mode for each in effective}, {Mode.IN_FORCE})
+        self.assertEqual({each.rules[LIMIT] for each in effective}, {3})
+
+    async def refused_version(self) -> None:
+        self.assertEqual((await self.put(9)).exit_code, 0)
+        refused = await self.run_command("wait", "2")
+        self.assertEqual(refused.exit_code, 1)
+        self.assertIn(
+            "version 2 was withdrawn: s2/1: 'settings.limits.max_hand_offs' must be at most 8",
+            refused.output,
+        )
+        self.assertEqual((await self.put(5)).exit_code, 0)
+        self.assertEqual((await self.run_command("wait", "3", "--settled")).exit_code, 0)
+
+    async def allowed_refusal(self) -> None:
+        self.assertEqual((await self.put(9, "--allow-refusals", "1")).exit_code, 0)
+        self.assertEqual(
+            (await self.run_command("wait", "4")).exit_code, 0
+        )  # a lease later: s2 can't confirm
+        while self.clients[0].holder.rules[LIMIT] != 9:  # its next grant is on its way
+            await asyncio.sleep(0.01)
+        self.assertEqual(self.effective(2).mode, Mode.NONE)
+        await self.put(5)
+        self.assertEqual((await self.run_command("wait", "5", "--settled")).exit_code, 0)
+
+    async def unsafe_version(self) -> None:
+        refused = await self.put(5, more="[lists]\nonly = []\n")
+        self.assertEqual(refused.exit_code, 1)
+        self.assertIn("it leaves no server: put it with --even-so", refused.output)
+        self.assertEqual((await self.run_command("put", str(self.file), "--even-so")).exit_code, 0)
+        await self.put(5)
+        self.assertEqual((await self.run_command("wait", "7", "--settled")).exit_code, 0)
+
+    async def status_and_bound(self) -> None:
+        status = await self.run_command("status")
+        for text in ("in force 7", "withdrawn 2", "s0/1  confirmed"):
+            self.assertIn(text, status.output)
+        bounds = json.loads((await self.run_command("bound", "--json")).output)
+        self.assertEqual((bounds[LIMIT], bounds["settings.categories.*.key_scope"]), (0.0, 1.02))
+
+    async def coordinators_end(self) -> None:
+        """Nobody is left to ask: it goes to its alone part, which here is nothing."""
+        for child in self.fleet.children.values():
+            await child.end()
+        while self.effective(0).mode is not Mode.NONE:
+            await asyncio.sleep(0.02)
 
 
 class Processes(unittest.TestCase):
-    def test_drawn_faults_and_the_newest_heard_of(self) -> None:
-        found = asyncio.run(fleet_rules_processes.played(2, sidecars=4, seconds=6.0, lease=1.0))
-        self.assertEqual(found.faults, [])
-        self.assertGreater(found.acts["settled"], 50)
-        self.assertGreater(found.versions, 1)
-
-    def test_whole_sidecars_behind_a_cut_and_the_newest_heard_of(self) -> None:
-        """The way of today, beside ours, in the same play: one is cut off while versions change, another is
-        stopped, the one that leads is killed. Judged by what servers and clients saw."""
+    def test_drawn_faults_break_no_invariant(self) -> None:
+        result = asyncio.run(fleet_rules_processes.played(2, sidecars=4, seconds=6.0, lease=1.0))
+        self.assertEqual(result.faults, [])
+        self.assertGreater(result.acts["settled"], 50)
+        self.assertGreater(result.versions, 1)
+
+    def test_whole_sidecars_behind_a_partition_and_the_newest_heard_of(self) -> None:
+        """The way without leases, beside ours, in the same run: one is cut off while versions change, another
+        is stopped, the leader is killed. Judged by what servers and clients saw."""
         script = ((1.5, "silent", "s0", 4.0), (2.0, "stall", "s1", 1.5), (2.5, "kill", "leader", 0.5))
-        told = {"sidecars": 3, "seconds": 6.0, "lease": 1.0, "faults": False, "script": script, "rate": 40.0}
-        told["puts"] = ((0.2, 5), (1.8, 1))  # a limit is lowered while one is cut off
-        found = asyncio.run(end_to_end.played(2, **told))
-        self.assertEqual(found.faults, [])
-        self.assertEqual(found.versions, 2)
-        self.assertGreater(found.lookups["done"], 100)
-        found = asyncio.run(end_to_end.played(2, **told, mutant="newest"))
-        self.assertTrue([each for each in found.faults if "max_hand_offs so for" in each])
+        options = {"sidecars": 3, "seconds": 6.0, "lease": 1.0, "faults": False, "script": script}
+        options |= {"rate": 40.0, "puts": ((0.2, 5), (1.8, 1))}  # a limit is lowered while one is cut off
+        result = asyncio.run(end_to_end.played(2, **options))
+        self.assertEqual(result.faults, [])
+        self.assertEqual(result.versions, 2)
+        self.assertGreater(result.lookups["done"], 100)
+        result = asyncio.run(end_to_end.played(2, **options, mutant="newest"))
+        self.assertTrue([fault for fault in result.faults if "max_hand_offs so for" in fault])
--- a/tests/fleet_rules/test_sidecar_rules.py
+++ b/tests/fleet_rules/test_sidecar_rules.py
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Whole:
+class RunningSidecar:
     fleet: Fleet
     server: StandIn
     number: int = 0
@@ -91,16 +91,16 @@
         answer = await ask(self.door, b"GET /stats HTTP/1.1\r\nHost: o\r\n\r\n")
         return json.loads(answer.partition(b"\r\n\r\n")[2])
 
-    def cut(self, on: bool) -> None:
+    def partition(self, on: bool) -> None:
         for relay in self.fleet.writers.values():
             (relay.begin if on else relay.end)("silent")
 
 
 @contextlib.asynccontextmanager
-async def whole(lease: float = 1.0, alone: float = 2.0) -> AsyncIterator[Whole]:
+async def running_sidecar(lease: float = 1.0, alone: float = 2.0) -> AsyncIterator[RunningSidecar]:
     async with Fleet(Scenario("agreed", lease=lease, alone=alone), 1) as fleet:
         async with StandIn(*[OK] * 1000) as server:
-            it = Whole(fleet, server)
+            it = RunningSidecar(fleet, server)
             try:
                 await it.start()
                 yield it
@@ -115,7 +115,7 @@
     return lambda self: asyncio.run(asyncio.wait_for(test(self), 20))
 
 
-class Rules:
+class StubRules:
     """Says what it is told to say."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
@@ -149,7 +149,7 @@
         async with StandIn(OK, OK) as server:
             with tempfile.TemporaryDirectory() as folder:
                 config = configured(pathlib.Path(folder, "c.json"), known=[entry(server.address)])
-            rules = Rules(config.decisions)
+            rules = StubRules(config.decisions)
             it = Sidecar(asyncio.get_running_loop(), config, rules=rules)
             stop = asyncio.Event()
             running = asyncio.ensure_future(it.run(stop))
@@ -180,7 +180,7 @@
         async with StandIn(*[OK] * 9) as one, StandIn(*[OK] * 9) as other:
             with tempfile.TemporaryDirectory() as folder:
                 config = configured(pathlib.Path(folder, "c.json"), known=[entry(other.address, "s2")])
-            rules = Rules(config.decisions)
+            rules = StubRules(config.decisions)
             rows = [
                 NamedServer(ListedServer(id, "a", 1), at.address) for id, at in (("s1", one), ("s2", other))
             ]
@@ -217,10 +217,10 @@
             before.listener.close()
 
 
-class TestWhole(unittest.TestCase):
+class TestRunningSidecar(unittest.TestCase):
     @run
     async def test_nothing_before_the_first_version_then_by_it_and_by_each_later_one(self) -> None:
-        async with whole() as it:
+        async with running_sidecar() as it:
             client = Client([relay.address for relay in it.fleet.writers.values()])
             self.assertEqual(await it.status(), 503)
             self.assertIn(b" 503 ", await ask(it.listen, b"GET /-/ready HTTP/1.1\r\n\r\n"))
@@ -240,10 +240,10 @@
 
     @run
     async def test_cut_off_it_acts_alone_then_on_nothing_and_alone_again_after_a_restart(self) -> None:
-        async with whole(lease=1.0, alone=4.0) as it:
+        async with running_sidecar(lease=1.0, alone=4.0) as it:
             await Client([relay.address for relay in it.fleet.writers.values()]).put(TEXT.format(name="pay"))
             await it.until(lambda status: status == 200)
-            it.cut(True)
+            it.partition(True)
             await it.line("rules mode=alone")
             self.assertEqual(await it.status(), 200)
             it.process.send_signal(signal.SIGTERM)
@@ -258,15 +258,15 @@
             self.assertEqual(len(it.server.got), sent)
             await it.start("n1")  # another, which has kept nothing
             self.assertEqual(await it.status(), 503)
-            it.cut(False)
+            it.partition(False)
             await it.until(lambda status: status == 200)
 
     @run
     async def test_one_that_was_stopped_does_not_act_by_the_lease_that_ran_out_meanwhile(self) -> None:
-        async with whole(lease=1.0, alone=0.0) as it:
+        async with running_sidecar(lease=1.0, alone=0.0) as it:
             await Client([relay.address for relay in it.fleet.writers.values()]).put(TEXT.format(name="pay"))
             await it.until(lambda status: status == 200)
-            it.cut(True)
+            it.partition(True)
             sent = len(it.server.got)
             it.process.send_signal(signal.SIGSTOP)
             answer = asyncio.ensure_future(it.status())
--- a/tests/fleet_rules/test_simulation.py
+++ b/tests/fleet_rules/test_simulation.py
@@ -66,6 +66,6 @@
         base = replace(FleetRulesPlan(), sidecars=8)
         for name in CAUGHT_EARLY:
             with self.subTest(name):
-                found = next(fleet_rules_mutants.caught(name, range(1, 60), base), None)
-                self.assertIsNotNone(found)
-                self.assertIn(found.faults[0].rule, fleet_rules_mutants.MUTANTS[name].rules)
+                result = next(fleet_rules_mutants.caught(name, range(1, 60), base), None)
+                self.assertIsNotNone(result)
+                self.assertIn(result.faults[0].rule, fleet_rules_mutants.MUTANTS[name].rules)
--- a/tests/fleet_rules/test_wire.py
+++ b/tests/fleet_rules/test_wire.py
@@ -15,8 +15,8 @@
 from foxspread.fleet_rules import codec, lease_client
 from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
 from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess
-from foxspread.fleet_rules.lease_holder import LeaseHolder
 from foxspread.fleet_rules.leader_state import HolderReport, HolderStatus
+from foxspread.fleet_rules.lease_holder import LeaseHolder
 from foxspread.fleet_rules.rollout import (
     AdmitHolders,
     Announce,
@@ -42,7 +42,7 @@
     "drop": DropAlonePart(1),
 }
 REPORT = HolderReport({"s1/a": HolderStatus(2), "s2/b": HolderStatus(1, 2, "not known")})
-KEPT = AloneState("boot", 3, {"settings.siblings": 8}, 12.25)
+ALONE_STATE = AloneState("boot", 3, {"settings.siblings": 8}, 12.25)
 
 
 def rollout() -> Rollout:
@@ -65,22 +65,22 @@
 
     def test_the_report_of_a_member_is_the_recorded_bytes(self) -> None:
         self.assertEqual(encoded(REPORT).hex(), RECORDED["report"])
-        found = msgspec.msgpack.decode(bytes.fromhex(RECORDED["report"]), type=HolderReport)
-        self.assertEqual(encoded(found), encoded(REPORT))
+        decoded = msgspec.msgpack.decode(bytes.fromhex(RECORDED["report"]), type=HolderReport)
+        self.assertEqual(encoded(decoded), encoded(REPORT))
 
     def test_the_snapshot_is_the_recorded_bytes_both_ways(self) -> None:
         self.assertEqual(rollout().saved().hex(), RECORDED["snapshot"])
-        again = Rollout()
-        again.restore(bytes.fromhex(RECORDED["snapshot"]))
-        self.assertEqual(again.saved().hex(), RECORDED["snapshot"])
+        restored = Rollout()
+        restored.restore(bytes.fromhex(RECORDED["snapshot"]))
+        self.assertEqual(restored.saved().hex(), RECORDED["snapshot"])
 
 
 class Http(unittest.TestCase):
-    def test_an_ask_is_the_recorded_body_and_its_answer_is_read(self) -> None:
+    def test_a_request_is_the_recorded_body_and_its_grant_is_read(self) -> None:
         calls = []
 
-        async def call(at: str, *told: object) -> SimpleNamespace:
-            calls.append(told)
+        async def call(at: str, *arguments: object) -> SimpleNamespace:
+            calls.append(arguments)
             return SimpleNamespace(value=json.loads(RECORDED["grant"]))
 
         async def main() -> LeaseHolder:
@@ -95,7 +95,7 @@
         self.assertEqual(calls[0][:3], ("POST", "/lease", RECORDED["ask"].encode()))
         self.assertEqual((holder.lease_seconds, holder.drift), (1.5, 0.05))
 
-    def test_a_coordinator_answers_an_ask_by_the_recorded_body(self) -> None:
+    def test_a_coordinator_grants_a_lease_by_the_recorded_body(self) -> None:
         process, asks = object.__new__(LeaseManagerProcess), []
 
         async def ask(call: object, ask: LeaseRequest) -> Answer:
@@ -107,7 +107,7 @@
         self.assertEqual((status, body.decode()), (200, RECORDED["grant"]))
         self.assertEqual(asks, [LeaseRequest("s1/a", 0.0, 2, 3, "not known")])
 
-    def test_a_coordinator_shows_the_course_in_the_recorded_form(self) -> None:
+    def test_a_coordinator_shows_the_rollout_in_the_recorded_form(self) -> None:
         process = object.__new__(LeaseManagerProcess)
         lead = SimpleNamespace(last_heard={"s1/a": 1.0}, statuses={"s1/a": HolderStatus(3, 4, "not known")})
         process.host = SimpleNamespace(rollout=rollout(), lead=lead)
@@ -119,5 +119,5 @@
 
 class File(unittest.TestCase):
     def test_what_is_kept_over_a_restart_is_the_recorded_text(self) -> None:
-        self.assertEqual(codec.encode_alone_state(KEPT), RECORDED["kept"])
-        self.assertEqual(codec.decode_alone_state(RECORDED["kept"]), KEPT)
+        self.assertEqual(codec.encode_alone_state(ALONE_STATE), RECORDED["kept"])
+        self.assertEqual(codec.decode_alone_state(RECORDED["kept"]), ALONE_STATE)
--- a/tests/singleton/test_singleton.py
+++ b/tests/singleton/test_singleton.py
@@ -1,3 +1,5 @@
+"""Singleton roles: the replicated table, holder and receiver by themselves, and all in virtual time."""
+
 import unittest
 
 from hypothesis import given, settings
@@ -41,7 +43,7 @@
 class Log(unittest.TestCase):
     @settings(max_examples=300, deadline=None)
     @given(st.lists(COMMANDS, max_size=40))
-    def test_tokens_rise_by_one_and_an_owner_is_gone_before_the_next(self, commands: list) -> None:
+    def test_tokens_rise_by_one_and_a_holder_is_gone_before_the_next(self, commands: list) -> None:
         it, last = LeaseTable(), (0, "", False)
         for command in commands:
             it.apply(command)
@@ -62,7 +64,7 @@
         again.restore(it.saved())
         self.assertEqual((again.roles, again.losses), (it.roles, it.losses))
 
-    def test_an_intent_is_closed_once_and_an_old_owners_word_that_it_did_it_counts(self) -> None:
+    def test_an_intent_is_closed_once_and_a_late_completion_counts(self) -> None:
         it = LeaseTable()
         for command, against in (
             (RecordIntent("d", 1, "x", "w", 1.0), "no duty"),
@@ -105,17 +107,19 @@
 
 
 class Parts(unittest.TestCase):
-    def test_a_lease_counts_from_the_ask_and_a_late_answer_gives_nothing_back(self) -> None:
-        one = RoleLeaseHolder(0.0, "a/1", ["d"], lambda: 0.5)
-        ask = one.request_due(10.0)
-        one.on_grant(12.0, ask, RoleLeaseGrant(10.0, 0.02, {"d": 3}))
-        self.assertEqual([one.fencing_token(at, "d") for at in (12.0, 19.79, 19.81)], [3, 3, 0])
-        one.release("d")
-        self.assertEqual((one.fencing_token(13.0, "d"), one.request_due(30.0).released), (0, (("d", 3),)))
-        one.on_grant(13.0, ask, RoleLeaseGrant(10.0, 0.02, {"d": 3}))
-        self.assertEqual(one.fencing_token(13.0, "d"), 0)
-        one.on_grant(40.0, one.request_due(40.0), RoleLeaseGrant(10.0, 0.02, {"d": 4}))
-        self.assertEqual((one.fencing_token(41.0, "d"), one.unconfirmed_releases), (4, {}))
+    def test_a_lease_counts_from_the_request_and_a_late_grant_restores_nothing(self) -> None:
+        holder = RoleLeaseHolder(0.0, "a/1", ["d"], lambda: 0.5)
+        request = holder.request_due(10.0)
+        holder.on_grant(12.0, request, RoleLeaseGrant(10.0, 0.02, {"d": 3}))
+        self.assertEqual([holder.fencing_token(at, "d") for at in (12.0, 19.79, 19.81)], [3, 3, 0])
+        holder.release("d")
+        self.assertEqual(
+            (holder.fencing_token(13.0, "d"), holder.request_due(30.0).released), (0, (("d", 3),))
+        )
+        holder.on_grant(13.0, request, RoleLeaseGrant(10.0, 0.02, {"d": 3}))
+        self.assertEqual(holder.fencing_token(13.0, "d"), 0)
+        holder.on_grant(40.0, holder.request_due(40.0), RoleLeaseGrant(10.0, 0.02, {"d": 4}))
+        self.assertEqual((holder.fencing_token(41.0, "d"), holder.unconfirmed_releases), (4, {}))
 
     def test_a_receiver_obeys_no_lower_token_and_none_before_it_knows(self) -> None:
         kept: dict[str, int] = {}
@@ -128,7 +132,7 @@
         wiped.learn({"d": 5})
         self.assertEqual([wiped.admit("d", each) for each in (4, 5)], [False, True])
 
-    def test_duties_are_spread_and_move_little_where_one_goes(self) -> None:
+    def test_roles_are_spread_and_few_move_where_an_instance_goes(self) -> None:
         names, tasks = [f"s{at}" for at in range(10)], [f"d{at}" for at in range(200)]
         to = {each: max(names, key=lambda name, each=each: rank(each, name)) for each in tasks}
         less = {each: max(names[1:], key=lambda name, each=each: rank(each, name)) for each in tasks}
@@ -153,7 +157,7 @@
             with self.subTest(name):
                 self.assertIsNotNone(singleton_mutants.caught(name, range(1, 20)))
 
-    def test_small_cases_whole(self) -> None:
+    def test_small_cases_are_searched_completely(self) -> None:
         for name in ("orders", "yields"):
             found = singleton_explorer.explored(name)
             self.assertEqual((found.violation, found.complete), ("", True))
--- a/tests/singleton/test_wire.py
+++ b/tests/singleton/test_wire.py
@@ -72,14 +72,14 @@
 
     def test_the_table_is_the_recorded_bytes_both_ways(self) -> None:
         self.assertEqual(lease_table().saved().hex(), RECORDED["table"])
-        again = LeaseTable()
-        again.restore(bytes.fromhex(RECORDED["table"]))
-        self.assertEqual(again.saved().hex(), RECORDED["table"])
+        restored = LeaseTable()
+        restored.restore(bytes.fromhex(RECORDED["table"]))
+        self.assertEqual(restored.saved().hex(), RECORDED["table"])
 
     def test_the_snapshot_of_both_is_the_recorded_bytes_both_ways(self) -> None:
         it = SingletonRollout()
         it.table = lease_table()
         self.assertEqual(it.saved().hex(), RECORDED["snapshot"])
-        again = SingletonRollout()
-        again.restore(bytes.fromhex(RECORDED["snapshot"]))
-        self.assertEqual(again.saved().hex(), RECORDED["snapshot"])
+        restored = SingletonRollout()
+        restored.restore(bytes.fromhex(RECORDED["snapshot"]))
+        self.assertEqual(restored.saved().hex(), RECORDED["snapshot"])
