--- a/foxspread/fleet_rules/lease_manager.py
+++ b/foxspread/fleet_rules/lease_manager.py
@@ -132,7 +132,7 @@
             requests.reads[self.last_read_token] = tokens
         except Refused:
             for token in tokens:
-                self._reject(requests, token, "nobody leads")
+                self._reject_request(requests, token, "nobody leads")
 
     def _report(self, now: float) -> None:
         statuses, self.unreported = self.unreported, {}
@@ -166,7 +166,7 @@
             if holder not in self.rollout.holders:
                 lead.unadmitted[holder] = None
 
-    def _reject(self, requests: PendingRequests, token: int, reason: str) -> None:
+    def _reject_request(self, requests: PendingRequests, token: int, reason: str) -> None:
         if requests.remove(token) is not None:
             self.answers.append(Answer(token, Status.ELSEWHERE, reason, self.member.leader))
 
@@ -273,13 +273,13 @@
         """Time has passed: calls whose deadline has come are answered."""
         super().tick(now)
         self._reject_overdue(now, self.requests)
-        self._answer_watches(now)
+        self._answer_phase_watches(now)
 
     def _reject_overdue(self, now: float, requests: PendingRequests) -> None:
         for token in requests.overdue(now):
-            self._reject(requests, token, "no majority answered in time")
+            self._reject_request(requests, token, "no majority answered in time")
 
-    def _answer_watches(self, now: float) -> None:
+    def _answer_phase_watches(self, now: float) -> None:
         for token, (phase, deadline) in list(self.phase_watches.items()):
             if self.rollout.phase > phase or deadline <= now:
                 del self.phase_watches[token]
@@ -321,7 +321,7 @@
             if holds:
                 self._grant_lease(now, each)
             else:
-                self._reject(self.requests, each, "it leads no more")
+                self._reject_request(self.requests, each, "it leads no more")
         return True
 
     def _restored(self, snapshot: Snapshot) -> None:
@@ -330,7 +330,7 @@
         self.phase_seen_at = self.removal_seen_at = now
         rollout = self.rollout
         self.alone_replaced_at = {each: now for each in rollout.alone_versions if each != rollout.in_force}
-        self._answer_watches(now)
+        self._answer_phase_watches(now)
 
     def _applied(self, index: int, entry: Any) -> None:
         rollout, now = self.rollout, self.member.now
@@ -354,7 +354,7 @@
         self.phase_seen_at = now
         if self.lead is not None:
             self.lead.proposals.applied(ROLLOUT_STEP)
-        self._answer_watches(now)
+        self._answer_phase_watches(now)
 
     def _holders_removed(self, now: float) -> None:
         self.removal_seen_at = now
--- a/foxspread/singleton/lease_manager.py
+++ b/foxspread/singleton/lease_manager.py
@@ -172,7 +172,7 @@
             return super()._read_done(now, token, holds)
         for each in tokens:
             if not holds:
-                self._reject(self.role_requests, each, "it leads no more")
+                self._reject_request(self.role_requests, each, "it leads no more")
             elif (pending := self.role_requests.remove(each)) is not None:
                 answer = self.role_grant(pending.request)
                 self.answers.append(Answer(each, Status.DONE, answer, self.member.leader))
