--- a/foxspread/lab/processes/virtual.py
+++ b/foxspread/lab/processes/virtual.py
@@ -18,9 +18,9 @@
 from foxspread.consensus.core import Contradiction, Member, Role, Settings
 from foxspread.consensus.messages import Envelope, Members, Saved, Seat, Snapshot, Write
 from foxspread.consensus.versions import Conflict, Done, Put, Version, Versions, digest
+from foxspread.lab.world.clock import Clock
 from foxspread.lab.processes.judge import Judge
 from foxspread.lab.processes.linear import NEVER, Op
-from foxspread.lab.world.clock import Clock
 
 # What may befall, by name. `lossy` ones take from a disk what it had promised: they come alone, for with
 # another member away as well they are more than the fleet can bear (docs/design/consensus.md).
