--- a/foxspread/fleet_rules/compatibility.py
+++ b/foxspread/fleet_rules/compatibility.py
@@ -1,10 +1,10 @@
 """Compares two versions: what neither forbids, and what acts under one may do that the other forbids.
 
-A change goes through a transition between two versions (docs/design/fleet-rules.md). In it a sidecar acts on what
-neither of both forbids: the stricter of two limits, the longer of two periods, the effect that allows fewer
-repeats. A key for which nothing lies between changes at the moment at which the new version is in force: then
-two sidecars may contradict each other for as long as a lease (`LeaseTerms.contradiction_bound`). The rule of
-each key is in `key_rules`.
+A change goes through a transition between two versions (docs/design/fleet-rules.md). In it a sidecar acts
+on what neither of both forbids: the stricter of two limits, the longer of two periods, the effect that
+allows fewer repeats. A key for which nothing lies between changes at the moment at which the new version is
+in force: then two sidecars may contradict each other for as long as a lease
+(`LeaseTerms.contradiction_bound`). The rule of each key is in `key_rules`.
 """
 
 from collections.abc import Iterator
--- a/foxspread/fleet_rules/lease_manager.py
+++ b/foxspread/fleet_rules/lease_manager.py
@@ -6,8 +6,8 @@
 came (a read through the leader), so one on the phase before an announcement was asked for before that was
 committed, and expires a lease after that at the latest. The next step is taken when all holders have
 confirmed the announced phase, or when so long has passed since this member saw the announcement committed,
-drift on both clocks allowed for. A new leader counts from when it saw that itself. `docs/design/fleet-rules.md`
-has the whole argument.
+drift on both clocks allowed for. A new leader counts from when it saw that itself.
+`docs/design/fleet-rules.md` has the whole argument.
 """
 
 from typing import Any
