--- a/foxspread/cli/processes.py
+++ b/foxspread/cli/processes.py
@@ -5,13 +5,13 @@
 import os
 import sys
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import asdict, replace
+from dataclasses import asdict, dataclass, replace
 from multiprocessing import get_context
 
 import click
 
 from foxspread.cli import lab_rules
-from foxspread.cli.lab_rules import JSON, seeds_of
+from foxspread.cli.lab_rules import JSON, MAX_SEEDS_SHOWN, seeds_of
 from foxspread.lab.processes import (
     explorer,
     mutants,
@@ -27,6 +27,7 @@
 
 
 def loaded(path: str) -> Scenario:
+    """The scenario of a file. Raises `click.UsageError` where it is at fault."""
     try:
         return scenario.load(path)
     except ScenarioError as error:
@@ -50,10 +51,10 @@
 @JSON
 def run(file: str, seeds: range, mutant: str | None, as_json: bool) -> None:
     """Real processes on loopback, one run a seed. Exit code 1 where a rule is broken."""
-    told, broken = loaded(file), False
+    played_scenario, broken = loaded(file), False
     for seed in seeds:
         try:
-            played = asyncio.run(real.played(told, seed, mutant or ""))
+            played = asyncio.run(real.played(played_scenario, seed, mutant or ""))
         except SocketsError as error:
             raise click.ClickException(str(error)) from None
         broken |= bool(played.faults)
@@ -73,14 +74,25 @@
     sys.exit(1 if broken else 0)
 
 
-def searched(plan: virtual.Plan, seed: int, mutant: str) -> tuple[int, int, list[dict[str, str]], list[str]]:
-    """A seed: operations, what the judge found, what befell. Every third seed has five members."""
+@dataclass(frozen=True)
+class SeedResult:
+    """What a seed gave: how many operations, what the judge found, and the faults that struck."""
+
+    seed: int
+    operations: int
+    faults: list[dict[str, str]]
+    befell: list[str]
+
+
+def searched(plan: virtual.Plan, seed: int, mutant: str) -> SeedResult:
+    """Plays a seed in virtual time. Every third seed has five members."""
     plan = plan if seed % 3 or plan.members != 3 else replace(plan, members=5)
     if mutant:
         plan = mutants.plan(mutants.MUTANTS[mutant], plan)
     world = virtual.World(plan, seed, mutants.MUTANTS[mutant].broken if mutant else None)
     judge = world.play()
-    return seed, len(judge.ops), [{"rule": each.rule, "text": each.text} for each in judge.faults], world.told
+    faults = [{"rule": fault.rule, "text": fault.text} for fault in judge.faults]
+    return SeedResult(seed, len(judge.ops), faults, world.told)
 
 
 @processes.command()
@@ -97,16 +109,14 @@
     plan, count, operations, broken = loaded(file).plan(), 0, 0, 0
     with ProcessPoolExecutor(min(jobs, len(seeds)), mp_context=get_context("spawn")) as pool:
         tasks = ([plan] * len(seeds), seeds, [mutant or ""] * len(seeds))
-        for seed, ops, faults, told in pool.map(
-            searched, *tasks, chunksize=max(1, min(20, len(seeds) // jobs))
-        ):
-            count, operations, broken = count + 1, operations + ops, broken + bool(faults)
+        for result in pool.map(searched, *tasks, chunksize=max(1, min(20, len(seeds) // jobs))):
+            count, operations = count + 1, operations + result.operations
+            broken += bool(result.faults)
             if as_json:
-                click.echo(json.dumps({"seed": seed, "operations": ops, "faults": faults, "befell": told}))
-            elif faults and broken <= 5:
-                click.echo(
-                    f"seed {seed}: {faults[0]['rule']}: {faults[0]['text']}; befell: {'; '.join(told)}"
-                )
+                click.echo(json.dumps(asdict(result)))
+            elif result.faults and broken <= MAX_SEEDS_SHOWN:
+                first, struck = result.faults[0], "; ".join(result.befell)
+                click.echo(f"seed {result.seed}: {first['rule']}: {first['text']}; befell: {struck}")
     if not as_json:
         click.echo(f"{count} seeds, {operations} operations, {broken} with a rule broken")
     sys.exit(1 if broken else 0)
@@ -122,21 +132,21 @@
 def explore(case: str, depth: int | None, mutant: str | None, as_json: bool) -> None:
     """All states of a small case, whatever is lost and in whatever order. Exit code 1 where a rule is
     broken."""
-    told = explorer.CASES[case]
-    told = replace(told, depth=depth or told.depth)
+    bounds = explorer.CASES[case]
+    bounds = replace(bounds, depth=depth or bounds.depth)
     kind = mutants.MUTANTS[mutant].broken.member if mutant else explorer.RaftNode
-    found = explorer.Explorer(told, kind).explore()
+    result = explorer.Explorer(bounds, kind).explore()
     if as_json:
-        click.echo(json.dumps(asdict(found)))
+        click.echo(json.dumps(asdict(result)))
     else:
         click.echo(
-            f"{case}: {found.states} states to depth {found.depth}"
-            f"{', which are all there are' if found.whole else ''}, {found.seconds:.1f} s; "
-            f"{found.fault or 'no rule broken'}"
+            f"{case}: {result.states} states to depth {result.depth}"
+            f"{', which are all there are' if result.whole else ''}, {result.seconds:.1f} s; "
+            f"{result.fault or 'no rule broken'}"
         )
-        for step in found.path:
+        for step in result.path:
             click.echo(f"  {step}")
-    sys.exit(1 if found.fault else 0)
+    sys.exit(1 if result.fault else 0)
 
 
 @processes.command("mutants")
