--- a/tests/agreed/make_stored_commands.py
+++ b/tests/fleet_rules/make_stored_commands.py
@@ -1,6 +1,6 @@
 """Made tests/data/stored/coordinator-commands.json, once, with the code of commit d26c70f. No test runs this:
 the data stays as that commit wrote it. To see how it was made, run it in an export of d26c70f that this file
-and test_stored_commands.py are copied into:
+and test_stored_commands.py of commit 98205b6 are copied into, as tests/agreed; modules have other names now:
 
     PYTHONPATH=EXPORT python -m tests.agreed.make_stored_commands FOLDER
 
