--- a/foxspread/lab/processes/child.py
+++ b/foxspread/lab/processes/child.py
@@ -10,13 +10,13 @@
 import sys
 from typing import Any
 
-from foxspread.agreed.course import Course
-from foxspread.agreed.process import StewardProcess
-from foxspread.agreed.steward import Steward
 from foxspread.cli.coordinator import serve
 from foxspread.consensus.clock import Clock
 from foxspread.consensus.storage import Storage
 from foxspread.consensus.versions import VersionStore
+from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess
+from foxspread.fleet_rules.lease_manager import LeaseManager
+from foxspread.fleet_rules.rollout import Rollout
 
 FAILS = "fsync-fails"  # a file of this name in the folder
 
@@ -34,11 +34,11 @@
         from foxspread.lab.processes.mutants import MUTANTS
 
         broken = MUTANTS[args[2]].broken
-        Steward.node_type = broken.member
+        LeaseManager.node_type = broken.member
         if broken.versions is not VersionStore:
-            Steward.store_type = type("Broken", (broken.versions, Course), {})
+            LeaseManager.store_type = type("Broken", (broken.versions, Rollout), {})
 
-    class Child(StewardProcess):
+    class Child(LeaseManagerProcess):
         storage_type = FailingDisk
 
         def __init__(self, *told: Any) -> None:
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -24,6 +24,7 @@
     TOMBSTONES,
     Item,
     Key,
+    Refusal,
     is_for_sidecars,
     unpack_item,
 )
@@ -209,8 +210,9 @@
         if item.kind == COMPACTION:
             self._collect(item, proposal_number)
         elif item.kind == REFUSED:
-            self.clock = max(self.clock, item.content[2])
-            if item.content[2] < self.refused_since:
+            refused_at = Refusal.of(item).refused_at
+            self.clock = max(self.clock, refused_at)
+            if refused_at < self.refused_since:
                 self._delete(item.key)
                 return False
         self.items[item.key] = item
@@ -230,7 +232,7 @@
             garbage = [
                 key
                 for key, item in self.items.items()
-                if item.kind == REFUSED and item.content[2] < self.refused_since
+                if item.kind == REFUSED and Refusal.of(item).refused_at < self.refused_since
             ]
         elif bound.name == TOMBSTONES:
             self.floor = bound.content[FLOOR]
--- a/foxspread/mesh/simulation/virtual_time.py
+++ b/foxspread/mesh/simulation/virtual_time.py
@@ -29,7 +29,7 @@
         """A number between the two."""
         return low + (high - low) * self.draw()
 
-    def choose(self, choices: list) -> Any:
+    def choose(self, choices: list[Any]) -> Any:
         """One of the list, each as likely as any other."""
         return choices[int(self.draw() * len(choices))]
 
--- a/tests/make_stored_learnt_file.py
+++ b/tests/make_stored_learnt_file.py
@@ -1,7 +1,7 @@
 """Made learnt.json, successor-state.json and agreed-rules.json in tests/data/stored, once, with the code of
 commit d26c70f. No test runs this: the data stays as that commit wrote it, whatever the code becomes. To see
 how it was made, run it in an export of d26c70f that this file, tests/test_stored_learnt_file.py and
-tests/agreed/test_stored_rules_file.py are copied into:
+tests/agreed/test_stored_rules_file.py (both of commit 4fdf299) are copied into; modules have other names now:
 
     PYTHONPATH=EXPORT python -m tests.make_stored_learnt_file FOLDER
 """
