--- a/tests/cli/test_coordinator.py
+++ b/tests/cli/test_coordinator.py
@@ -12,7 +12,7 @@
 
 from foxspread.cli.main import foxspread
 from foxspread.config import ConfigError
-from foxspread.consensus import configuration as files
+from foxspread.consensus import configuration
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.scenario import Scenario
 
@@ -121,10 +121,10 @@
             ):
                 file.write_text(tomli_w.dumps(SOUND | change))
                 with self.subTest(change), self.assertRaisesRegex(ConfigError, fault):
-                    files.read(str(file))
+                    configuration.read(str(file))
                 self.assertEqual(invoked("coordinator", "run", str(file)).exit_code, 2)
         self.assertEqual(invoked("rules", "check", RULES).exit_code, 0)
-        self.assertEqual(files.read(str(ROOT / "deploy/coordinator.toml")).name, "c1")
+        self.assertEqual(configuration.read(str(ROOT / "deploy/coordinator.toml")).name, "c1")
         self.assertEqual(invoked("rules", "get", "--at", "x").exit_code, 2)
 
 
