--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -186,8 +186,10 @@
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
-    def chunk(after: Offset = START, limit_bytes: int = PIECE_BYTES, bare: bool = False) -> SnapshotChunk:
-        return Learner.chunk(learner, after, limit_bytes, bare)
+    def chunk(
+        after: Offset = START, limit_bytes: int = PIECE_BYTES, for_sidecars: bool = False
+    ) -> SnapshotChunk:
+        return Learner.chunk(learner, after, limit_bytes, for_sidecars)
 
     learner.chunk = chunk
     return learner
--- a/tests/mesh/replication/test_learner.py
+++ b/tests/mesh/replication/test_learner.py
@@ -8,11 +8,11 @@
     NONE,
     START,
     Learner,
+    chunk_digest,
+    end_of_proposal,
     offset_of,
     pack_row,
-    chunk_digest,
     unpack_row,
-    end_of_proposal,
 )
 
 INCARNATION = "w"
@@ -95,7 +95,7 @@
             collect_refused(1, 2),
             collect_dropped(1, 2, 0),
         ]
-        chunk = committed((1, rows)).chunk(bare=True)
+        chunk = committed((1, rows)).chunk(for_sidecars=True)
         self.assertEqual(
             [pack_row(collect_dropped(1, 2, 0), at(1)), pack_row(Item(SERVICE, "a", 5, {}), at(1))],
             chunk.rows,
