--- a/foxspread/mesh/control_api/instances.py
+++ b/foxspread/mesh/control_api/instances.py
@@ -26,13 +26,13 @@
     ) -> None:
         self.clock, self.instances = clock, instances
         self._publish, self._propagate = publish, propagate
-        self._handlers = {("post", "beat"): self.beat, ("post", "leave"): self.leave}
+        self._handlers = {("post", "beat"): self.heartbeat, ("post", "leave"): self.leave}
 
     def handlers(self) -> Mapping[Route, Handler]:
         """The calls `Instances.Beat` and `Instances.Leave`."""
         return self._handlers
 
-    async def beat(self, request: Request) -> Response:
+    async def heartbeat(self, request: Request) -> Response:
         """A heartbeat; one that says draining is answered once others know it."""
         try:
             data = orjson.loads(request.body)
--- a/foxspread/mesh/hollow/process.py
+++ b/foxspread/mesh/hollow/process.py
@@ -72,7 +72,7 @@
         await (
             hollow.node.endpoints.desks["control"]
             .resources["Instances"]
-            .beat(Request(id, hollow.server.beat()))
+            .heartbeat(Request(id, hollow.server.beat()))
         )
         return {"at": at, "what": f"{id}@{hollow.server.berths}"}
 
--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -110,7 +110,7 @@
         instances: Any = node.endpoints.desks["control"].resources["Instances"]
         await asyncio.sleep(beat_s * node.chance.draw())
         while True:
-            outcome = await instances.beat(Request(id, server.beat()))
+            outcome = await instances.heartbeat(Request(id, server.beat()))
             if isinstance(outcome, Failure):
                 raise AssertionError(f"a beat of {id} is refused: {outcome.reason}")
             await asyncio.sleep(beat_s)
--- a/tests/mesh/configuration/test_document.py
+++ b/tests/mesh/configuration/test_document.py
@@ -11,7 +11,7 @@
 
 
 class ConfigurationDocumentTest(testtools.TestCase):
-    def test_it_reads_back_as_it_was_sent(self) -> None:
+    def test_a_configuration_reads_as_it_was_sent(self) -> None:
         # The operator compares the two: unknown keys too, tombstones not.
         call = gates(rule(colour="red"), rule(name="r2", postcode="/b/"))
         call["lodge"] |= {"limits": LIMITS_CONTENT, "fleets": [SERVICE_CONTENT | {"sealed": False}]}
--- a/tests/mesh/configuration/test_idempotency.py
+++ b/tests/mesh/configuration/test_idempotency.py
@@ -1,6 +1,7 @@
 """What operators are answered: one content for each version, one answer for each change, however late."""
 
 from itertools import permutations
+from typing import Any
 
 import testtools
 
@@ -15,17 +16,17 @@
 class AgreedItems:
     """The agreed items as one replica after another would commit changes to them."""
 
-    def __init__(self, *items):
+    def __init__(self, *items: Item) -> None:
         self.items = {item.key: item for item in items}
         self.clock = 0.0
 
-    def status_of(self, *items):
+    def status_of(self, *items: Item) -> int:
         """What the operator is answered: 200 or the status of a failure."""
         changes, outcome = apply_change(self.items, list(items), digest_of_change(items), self.clock)
         self.items |= changes
         return outcome.status if isinstance(outcome, Failure) else 200
 
-    def content(self, name):
+    def content(self, name: str) -> Any:
         return self.items[SERVICE, name].content
 
 
@@ -33,8 +34,8 @@
 
 
 class VersionsTest(testtools.TestCase):
-    def test_only_one_content_of_a_version_is_ever_confirmed(self):
-        # R5 X is confirmed, then r6, then another's r5 Y was confirmed too.
+    def test_only_one_content_of_a_version_is_ever_confirmed(self) -> None:
+        # Regression: one operator's r5 was confirmed, then r6, then another content under r5 too.
         newer = [service(version=6), Item(SERVICE, "v", 7, None), service(version=9, tag=4)]
         for count in range(len(newer) + 1):
             for first, second in permutations((V1, V2)):
@@ -44,15 +45,15 @@
                     self.assertEqual(200, agreed.status_of(item))
                 self.assertEqual((409, 200), (agreed.status_of(second), agreed.status_of(first)), count)
 
-    def test_a_version_that_was_superseded_unseen_is_confirmed_once(self):
-        # An older order that never came through changes nothing and is confirmed, another of its number not.
+    def test_a_version_that_was_superseded_unseen_is_confirmed_once(self) -> None:
+        # An older change that never arrived changes nothing and is confirmed, another of its version not.
         for first, second in permutations((V1, V2)):
             agreed = AgreedItems(service(version=8, tag=8))
             statuses = [agreed.status_of(each) for each in (first, second, first, service(version=8, tag=8))]
             self.assertEqual([200, 409, 200, 200], statuses)
             self.assertEqual(8, agreed.content("v")["tag"])
 
-    def test_each_change_has_one_answer_in_all_sequences_of_four(self):
+    def test_each_change_has_one_answer_in_all_sequences_of_four(self) -> None:
         # Whatever comes first: of each version one content is confirmed, a change has one answer.
         four = [V1, V2, service(version=6), Item(SERVICE, "v", 7, None)]
         for played in permutations([*four, V1, V2], 6):
@@ -62,21 +63,21 @@
                 self.assertEqual(answers.setdefault(str(item), answer), answer, played)
             self.assertEqual([200, 409], sorted(answers[str(each)] for each in (V1, V2)))
 
-    def test_versions_below_the_floor_get_no_clear_answer(self):
-        # Past the bound no order is confirmed that may differ from what was, nor refused if it was taken.
+    def test_versions_below_the_floor_get_no_clear_answer(self) -> None:
+        # Below it none is confirmed that may differ from what was, nor refused if it was confirmed.
         agreed = AgreedItems()
         changes = [service(version=n, tag=n) for n in range(1, idempotency.MAX_SUPERSEDED_VERSIONS + 12)]
         for item in changes:
             self.assertEqual(200, agreed.status_of(item))
         superseded = agreed.items[SERVICE, "v"].superseded
-        floor, known = superseded.floor, superseded.digests
-        self.assertEqual((10, idempotency.MAX_SUPERSEDED_VERSIONS), (floor, len(known)))
+        self.assertEqual(10, superseded.floor)
+        self.assertEqual(idempotency.MAX_SUPERSEDED_VERSIONS, len(superseded.digests))
         for item in changes:
             other = service(version=item.version, tag=-1)
-            expected = (503, 503) if item.version <= floor else (200, 409)
+            expected = (503, 503) if item.version <= superseded.floor else (200, 409)
             self.assertEqual(expected, (agreed.status_of(item), agreed.status_of(other)), item.version)
 
-    def test_an_older_version_does_not_push_out_confirmed_ones(self):
+    def test_an_older_version_does_not_push_out_confirmed_ones(self) -> None:
         agreed = AgreedItems()
         for n in range(100, 100 + idempotency.MAX_SUPERSEDED_VERSIONS + 1):
             agreed.status_of(service(version=n, tag=n))
@@ -84,14 +85,14 @@
         self.assertEqual([503, 503], [agreed.status_of(service(version=50, tag=tag)) for tag in (1, 2)])
         self.assertEqual(200, agreed.status_of(service(version=100, tag=100)))
 
-    def test_integers_and_equal_floats_are_one_number(self):
+    def test_integers_and_equal_floats_are_one_number(self) -> None:
         one, same = (Item(SERVICE, "v", 5, {"name": "v", "tag": tag}) for tag in (2, 2.0))
         agreed = AgreedItems()
         statuses = [agreed.status_of(each) for each in (one, same, service(version=6), same)]
         self.assertEqual([200] * 4, statuses)
 
-    def test_no_number_is_too_large_for_a_digest(self):
-        # A whole number beyond 64 bits, which JSON gives as a float: no digest could be made of it.
+    def test_no_number_is_too_large_for_a_digest(self) -> None:
+        # Regression: an integer beyond 64 bits, which JSON gives as a float, could get no digest.
         for large in (1e40, -1e300, 2.0**53, 2.0**63, 10**18, 0.1):
             agreed = AgreedItems()
             one = Item(SERVICE, "v", 5, {"name": "v", "tag": large})
@@ -100,27 +101,27 @@
             )
             self.assertEqual(409, agreed.status_of(V2))
 
-    def test_a_change_has_one_digest_in_any_order_of_its_items(self):
+    def test_a_change_has_one_digest_in_any_order_of_its_items(self) -> None:
         items = [service("a"), service("b"), route("r", "/r/", "a")]
         self.assertEqual(1, len({digest_of_change(each) for each in permutations(items)}))
         self.assertNotEqual(digest_of_change(items), digest_of_change(items[:2]))
 
 
 class RefusedChangesTest(testtools.TestCase):
-    late = route("r", "/r/", "w")
+    late = route("r", "/r/", "w")  # valid only with the service `w`
 
-    def test_a_refused_change_never_comes_into_force(self):
-        # A copy that a frozen machine reads late, when it has become valid.
+    def test_a_refused_change_never_comes_into_force(self) -> None:
+        # Not by a copy either that a suspended machine reads late, when it would be valid.
         agreed = AgreedItems(service())
         self.assertEqual(400, agreed.status_of(self.late))
         self.assertEqual(200, agreed.status_of(service("w")))
         self.assertEqual(400, agreed.status_of(self.late))
         self.assertNotIn(self.late.key, agreed.items)
-        again = route("r", "/r/", "w", version=2)
-        self.assertEqual(200, agreed.status_of(again))
+        newer = route("r", "/r/", "w", version=2)
+        self.assertEqual(200, agreed.status_of(newer))
         self.assertEqual(400, agreed.status_of(self.late))
 
-    def test_a_confirmed_change_is_never_refused(self):
+    def test_a_confirmed_change_is_never_refused(self) -> None:
         # Not even when what it needs has gone since.
         agreed = AgreedItems(service())
         self.assertEqual(200, agreed.status_of(service("w"), self.late))
@@ -131,8 +132,8 @@
 
 
 class CompareAndSetTest(testtools.TestCase):
-    def test_members_and_leases_follow_the_current_version(self):
-        # Two that change from the same set, or act on the same lease, at once.
+    def test_members_and_leases_follow_the_current_version(self) -> None:
+        # Of two changes from the same set, or of the same lease, at once, one is confirmed.
         for kind in (MEMBERS, LEASE):
             one, other = (Item(kind, "members", 1, {"of": [name]}) for name in "ab")
             agreed = AgreedItems()
@@ -142,7 +143,7 @@
 
 
 class MergeTest(testtools.TestCase):
-    def test_the_highest_version_holds(self) -> None:
+    def test_the_highest_version_is_in_force(self) -> None:
         # Older changes that arrive again, a drop before what it drops, two contents of one version.
         current = by_key(route_item("r1", 5), Item(ROUTE, "gone", 5, None))
         for item, is_newer in (
--- a/tests/mesh/configuration/test_retention.py
+++ b/tests/mesh/configuration/test_retention.py
@@ -19,7 +19,7 @@
         self.items |= changes
         return 200 if outcome is True else outcome.status
 
-    def test_refusals_are_kept_for_their_time_and_no_longer(self) -> None:
+    def test_refusals_are_remembered_for_their_time_only(self) -> None:
         late = route("r", "/r/", "w")
         for n in range(retention.MAX_REFUSALS):
             self.clock = n * 0.01
@@ -31,7 +31,7 @@
 
 
 class TombstonesTest(testtools.TestCase):
-    def test_the_oldest_of_too_many_tombstones_are_collected(self) -> None:
+    def test_the_oldest_tombstones_past_the_bound_are_collected(self) -> None:
         # And an unknown name below the floor is left without a clear answer: it may be one of them.
         tombstones = [Item(SERVICE, f"s{n}", 5 + n % 3, None) for n in range(retention.MAX_TOMBSTONES + 1)]
         items = {item.key: item for item in tombstones}
--- a/tests/mesh/configuration/test_validation.py
+++ b/tests/mesh/configuration/test_validation.py
@@ -114,7 +114,7 @@
             for each in named:
                 self.assertIn(each, failure.reason, name)
 
-    def test_a_call_that_is_only_just_valid_is_taken(self) -> None:
+    def test_a_call_that_is_only_just_valid_is_accepted(self) -> None:
         for name, call in VALID.items():
             self.assertNotIsInstance(parsed(call), InvalidRequest, (name, parsed(call)))
 
--- a/tests/mesh/control_api/test_configuration.py
+++ b/tests/mesh/control_api/test_configuration.py
@@ -13,15 +13,15 @@
 
 class ConfigurationResourceTest(ControlApiTestCase):
     def test_a_change_is_answered_with_its_outcome(self) -> None:
-        # Nothing invalid reaches the disk; the outcome goes back as it is; one without a disk reads
-        # nothing and names another, with the whole path.
+        # Nothing invalid is submitted; a process without storage parses nothing and redirects to the same
+        # call of a replica.
         for outcome, expected in ((True, 200), (Conflict("no"), 409), (OutcomeUnknown("later"), 503)):
-            replica_server = FakeReplica(self.loop, outcome)
-            self.api.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
+            replica = FakeReplica(self.loop, outcome)
+            self.api.resources["Config"] = ConfigurationResource(replica, lambda: None)
             self.assertEqual([expected], self.call(b"/api/Config.Patch", CALL))
-            self.assertEqual(["s1", "r1"], [item.name for item in replica_server.got[0]])
+            self.assertEqual(["s1", "r1"], [item.name for item in replica.got[0]])
             self.assertEqual([400], self.call(b"/api/Config.Patch", orjson.dumps(CALL)[:-1]))
-            self.assertEqual(1, len(replica_server.got))
+            self.assertEqual(1, len(replica.got))
         for address, expected in (("10.0.0.4:8080", 307), (None, 503)):
             self.api.resources["Config"] = ConfigurationResource(None, lambda address=address: address)
             self.assertEqual([expected], self.call(b"/api/Config.Patch", CALL))
@@ -31,10 +31,10 @@
             self.assertEqual([expected], self.call(b"/api/Config.Patch", b"{"))
 
     def test_changes_that_are_too_large_or_malformed_are_refused(self) -> None:
-        # Each gets a clear refusal, nothing of it is submitted, and none is read whole that is too
-        # large: by its length, and by what comes of one without a length.
-        replica_server = FakeReplica(self.loop, True)
-        self.api.resources["Config"] = ConfigurationResource(replica_server, lambda: None)
+        # Nothing of them is submitted, and none that is too large is read to its end: by its length, and by
+        # what comes of one without a length.
+        replica = FakeReplica(self.loop, True)
+        self.api.resources["Config"] = ConfigurationResource(replica, lambda: None)
         for size in (MAX_CALL_BYTES + 1, 64 * 1024 * 1024):
             head = b"POST /api/Config.Patch HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % size
             self.assertEqual([413], self.send(head + b" " * 1000))
@@ -57,12 +57,12 @@
         endless = b'{"lodge":{"limits":{"edition":"r1","idle_s":1e999}}}'
         for body in (b"[" * 100_000, b'{"lodge":' * 5000, endless):
             self.assertEqual([400], self.call(b"/api/Config.Patch", body), body[:20])
-        self.assertEqual([], replica_server.got)
+        self.assertEqual([], replica.got)
 
     def test_a_suspended_process_does_not_act_on_outdated_calls(self) -> None:
-        # An order read on waking may be a copy that its operator has long sent elsewhere; also one
-        # that was being read in slices meanwhile. Each is asked at the act, twice.
-        replica_server = FakeReplica(self.loop, True)
+        # What is read on waking may be a copy that its operator has long sent elsewhere; also what was
+        # being parsed in slices meanwhile. So it is asked when a call is read and before it is submitted.
+        replica = FakeReplica(self.loop, True)
         for answers, expected, got in (
             ([True], 503, 0),
             ([False, True], 503, 0),
@@ -70,10 +70,10 @@
         ):
             suspended = iter(answers)
             self.api.resources["Config"] = ConfigurationResource(
-                replica_server, lambda: None, lambda suspended=suspended: next(suspended)
+                replica, lambda: None, lambda suspended=suspended: next(suspended)
             )
             self.assertEqual([expected], self.call(b"/api/Config.Patch", CALL))
-            self.assertEqual(got, len(replica_server.got))
-        self.api.resources["Config"] = ConfigurationResource(replica_server, lambda: None, lambda: True)
+            self.assertEqual(got, len(replica.got))
+        self.api.resources["Config"] = ConfigurationResource(replica, lambda: None, lambda: True)
         self.assertEqual([503], self.call(b"/api/Config.Get", method=b"GET"))
-        self.assertEqual(1, len(replica_server.got))
+        self.assertEqual(1, len(replica.got))
--- a/tests/mesh/control_api/test_handlers.py
+++ b/tests/mesh/control_api/test_handlers.py
@@ -18,7 +18,7 @@
             self.assertEqual([404], self.call(target, CALL, method), target)
 
     def test_a_failing_call_is_answered(self) -> None:
-        # An error of ours must not leave the caller without an answer; it is told to go elsewhere.
+        # An error of the program must not leave the caller without an answer: it goes elsewhere.
         self.api.resources["Config"] = ConfigurationResource(
             FakeReplica(self.loop, ValueError("ours")), lambda: None
         )
--- a/tests/mesh/registry/test_drain_propagation.py
+++ b/tests/mesh/registry/test_drain_propagation.py
@@ -5,7 +5,7 @@
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART, LastHop, Terms
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.registry.drain_propagation import PROPAGATION_TIMEOUT_S, DrainOutcome, DrainPropagation
-from foxspread.mesh.registry.heartbeat import DRAINING, READY, Heartbeat
+from foxspread.mesh.registry.heartbeat import DRAINING, READY, Heartbeat, InstanceState
 from foxspread.mesh.registry.incarnations import InstanceTable
 
 DRAIN_S = 2.0
@@ -39,57 +39,57 @@
 class GuardedDrainTest(testtools.TestCase):
     """The sidecar beside the server, with no connection to anybody."""
 
-    def setUp(self):
+    def setUp(self) -> None:
         super().setUp()
         self.begin()
 
-    def begin(self):
+    def begin(self) -> None:
         self.instances = InstanceTable(1.0, "z")
         self.hop = LastHop(self.instances, ("127.0.0.1", 8147), DRAIN_S)
 
-    def beat(self, now, state, sequence):
+    def hear(self, now: float, state: InstanceState, sequence: int) -> object:
         heartbeat = Heartbeat("s", "10.0.0.9:8080", state, sequence, capacity=9)
         return self.instances.record_heartbeat(now, "i", heartbeat)
 
-    def passes(self, now):
+    def passes(self, now: float) -> bool:
         return not isinstance(self.hop.admit(now, "i", 1.0, Terms()), Failure)
 
-    def test_a_drain_holds_during_a_partition_of_twenty_seconds(self):
-        self.beat(0.0, READY, 1)
+    def test_a_drain_is_final_during_a_partition_of_twenty_seconds(self) -> None:
+        self.hear(0.0, READY, 1)
         self.assertTrue(self.passes(0.5))
-        self.beat(1.0, DRAINING, 2)
+        self.hear(1.0, DRAINING, 2)
         for tenth in range(1, 250):
             now = 1.0 + tenth / 10
             if tenth % 10 == 0:
-                self.beat(now, DRAINING, 2 + tenth)
+                self.hear(now, DRAINING, 2 + tenth)
             self.assertEqual(now - 1.0 <= DRAIN_PART * DRAIN_S, self.passes(now), now)
         # Its caller has asked before, connecting took until then: asked again before the first byte.
         self.assertIsInstance(self.hop.closed(22.0, "i"), Failure)
 
-    def test_a_drain_holds_over_a_restart_before_and_after_the_next_heartbeat(self):
-        # The new process knows of no drain; until the server's next beat it knows no server, and that
-        # beat says draining, since there is no way back in one life.
-        self.beat(0.0, READY, 1)
-        self.beat(1.0, DRAINING, 2)
+    def test_a_drain_is_final_over_a_restart_before_and_after_the_next_heartbeat(self) -> None:
+        # The new process knows of no drain; until the server's next heartbeat it knows no server, and that
+        # one says draining, since a drain is final for an incarnation.
+        self.hear(0.0, READY, 1)
+        self.hear(1.0, DRAINING, 2)
         self.begin()
         self.assertFalse(self.passes(1.2))
-        self.beat(2.0, DRAINING, 3)
+        self.hear(2.0, DRAINING, 3)
         for now in (2.0, 2.1, 3.0, 20.0):
             self.assertFalse(self.passes(now), now)
 
-    def test_a_late_heartbeat_ends_no_drain(self):
-        self.beat(0.0, READY, 1)
-        self.beat(1.0, DRAINING, 3)
-        self.beat(4.0, READY, 2)
+    def test_a_late_heartbeat_ends_no_drain(self) -> None:
+        self.hear(0.0, READY, 1)
+        self.hear(1.0, DRAINING, 3)
+        self.hear(4.0, READY, 2)
         self.assertFalse(self.passes(4.0))
-        self.beat(4.5, READY, 4)
+        self.hear(4.5, READY, 4)
         self.assertFalse(self.passes(5.0))
         self.instances.leave(5.0, "i")
-        self.beat(5.5, READY, 5)
+        self.hear(5.5, READY, 5)
         self.assertFalse(self.passes(6.0))
 
-    def test_time_of_a_suspension_counts_for_a_drain(self):
-        self.beat(0.0, READY, 1)
-        self.beat(1.0, DRAINING, 2)
+    def test_time_of_a_suspension_counts_for_a_drain(self) -> None:
+        self.hear(0.0, READY, 1)
+        self.hear(1.0, DRAINING, 2)
         self.instances.exclude_suspension(20.0)
         self.assertFalse(self.passes(21.5))
--- a/tests/mesh/registry/test_endpoint_records.py
+++ b/tests/mesh/registry/test_endpoint_records.py
@@ -10,46 +10,48 @@
 
 
 class EndpointRecordsTest(testtools.TestCase):
-    def test_the_newest_record_of_each_node_is_in_force(self):
-        # Merge by version, not by arrival; of a later life before more of an earlier one.
+    def test_the_newest_record_of_each_node_is_in_force(self) -> None:
+        # By version, not by arrival; a later incarnation before more of an earlier one.
         rows = [
             ["n", [incarnation, number], "z", "up", "a:1", []]
             for incarnation, number in ((1, 1), (1, 9), (2, 1))
         ]
-        for order in permutations(rows):
+        for sequence in permutations(rows):
             records = EndpointRecords()
-            taken = [records.update(0.0, unpack_record(row)) for row in order]
+            updated = [records.update(0.0, unpack_record(row)) for row in sequence]
             self.assertEqual((2, 1), records.by_node["n"].version)
-            self.assertTrue(taken[0])
-            self.assertFalse(records.update(0.0, unpack_record(order[0])))
+            self.assertTrue(updated[0])
+            self.assertFalse(records.update(0.0, unpack_record(sequence[0])))
         record = EndpointRecord(
             "n", (1, 2), "z", "up", ("a", 1), (unpack_instance(["i", "s", "a:2", "z", 3, READY, 4]),)
         )
         self.assertEqual(record, unpack_record(record.packed()))
 
-    def test_callers_have_alternatives_while_half_of_the_zone_is_up(self):
-        # Stopped in turn at short gaps, all of a zone would be away at once and callers find nobody.
+    def test_callers_have_alternatives_while_half_of_the_zone_is_up(self) -> None:
+        # Otherwise, stopped one by one at short gaps, a zone would have nobody for its callers.
         records = EndpointRecords()
 
-        def say(now, node, state, number=1, zone="z", incarnation=1):
+        def publish(
+            now: float, node: str, state: str, number: int = 1, zone: str = "z", incarnation: int = 1
+        ) -> None:
             records.update(now, unpack_record([node, [incarnation, number], zone, state, "a:1", []]))
 
         for node in "abc":
-            say(0.0, node, "up")
-        say(0.0, "far", "up", zone="y")
-        spares = [records.callers_have_alternatives(now, "a", "z", 1.5) for now in (1.0, 2.0)]
-        say(2.0, "b", "leaving", 2)
-        spares.append(records.callers_have_alternatives(3.0, "a", "z", 1.5))
-        say(4.0, "b", "up", 1, incarnation=2)
-        say(5.4, "b", "up", 2, incarnation=2)  # more of the same life does not begin anew
-        spares += [records.callers_have_alternatives(now, "a", "z", 1.5) for now in (5.0, 5.6)]
-        self.assertEqual([False, True, False, False, True], spares)
+            publish(0.0, node, "up")
+        publish(0.0, "far", "up", zone="y")
+        alternatives = [records.callers_have_alternatives(now, "a", "z", 1.5) for now in (1.0, 2.0)]
+        publish(2.0, "b", "leaving", 2)
+        alternatives.append(records.callers_have_alternatives(3.0, "a", "z", 1.5))
+        publish(4.0, "b", "up", 1, incarnation=2)
+        publish(5.4, "b", "up", 2, incarnation=2)  # more of the same incarnation does not begin anew
+        alternatives += [records.callers_have_alternatives(now, "a", "z", 1.5) for now in (5.0, 5.6)]
+        self.assertEqual([False, True, False, False, True], alternatives)
         self.assertTrue(
             records.callers_have_alternatives(9.0, "far", "y", 1.5)
         )  # the only one of its zone waits for nobody
 
-    def test_sidecars_are_counted_as_records_come(self):
-        # Counted as records come, whatever their order: the same as counting all of them.
+    def test_sidecars_are_counted_as_records_come(self) -> None:
+        # In whatever sequence they come, the count is that of all records in force.
         rows = [
             ["n", [1, 1], "z", "up", "a:1", []],
             ["n", [1, 2], "y", "leaving", "a:1", []],
@@ -57,17 +59,17 @@
             ["m", [1, 1], "y", "up", "b:1", []],
             ["keeper", [1, 1], "z", "up", "", []],
         ]
-        for order in permutations(rows):
+        for sequence in permutations(rows):
             records = EndpointRecords()
-            for number, row in enumerate(order):
+            for number, row in enumerate(sequence):
                 records.update(float(number), unpack_record(row))
                 sides = [each for each in records.by_node.values() if each.inbound is not None]
-                self.assertEqual(len(sides), records.sidecar_count, order)
+                self.assertEqual(len(sides), records.sidecar_count, sequence)
                 zones = {zone: {each.node for each in sides if each.zone == zone} for zone in "zy"}
                 self.assertEqual(
-                    zones, {zone: records.sidecars_of_zone.get(zone, set()) for zone in "zy"}, order
+                    zones, {zone: records.sidecars_of_zone.get(zone, set()) for zone in "zy"}, sequence
                 )
 
-    def test_a_state_of_a_later_version_is_sent_on_as_it_came(self):
+    def test_an_unknown_state_is_sent_on_unchanged(self) -> None:
         row = ["n", [1, 1], "z", "resting", "a:1", [["i", "s", "a:2", "z", 3, "thawing", 4, 0.0, "v1"]]]
         self.assertEqual(row, unpack_record(row).packed())
