--- a/foxspread/mesh/committed_configuration.py
+++ b/foxspread/mesh/committed_configuration.py
@@ -3,10 +3,10 @@
 A view of the event log: it is handed each item that is new, in order. Without I/O.
 """
 
-from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from collections.abc import Callable, Iterable
 
-from foxspread.mesh.configuration.items import LIMITS, MEMBERS, Item
+from foxspread.mesh.configuration.document import ClientLimits, Content, client_limits
+from foxspread.mesh.configuration.items import LIMITS, MEMBERS, ROUTE, Item
 from foxspread.mesh.configuration.routes import RouteTable
 from foxspread.mesh.dataplane.caller import CallerDesk
 from foxspread.mesh.gossip.connection_manager import ConnectionManager
@@ -39,17 +39,17 @@
             if item.kind == LIMITS and item.content is not None:
                 self._set_limits(item.content)
         routes = self.routes.matches
-        self.caller.steering.forget(lambda name: ("route", name) in routes)
+        self.caller.steering.forget(lambda name: (ROUTE, name) in routes)
 
     def set_members(self, members: Iterable[str]) -> None:
         """Their control addresses: connections to them are preferred."""
         addresses = [(parse_address(each)[0], self.peer_port) for each in members]
         self.connection_manager.set_members(self.clock(), addresses)
 
-    def _set_limits(self, content: Mapping[str, Any]) -> None:
+    def _set_limits(self, content: Content) -> None:
         limits = self.caller.limits
-        limits.head = int(content.get("envelope_bytes", limits.head))
+        former = ClientLimits(limits.head, limits.body, limits.head_s, limits.idle_s)
+        new = client_limits(content, former)
         largest_body = int(self.memory_mb() * 1024 * 1024 * BODY_SHARE)
-        limits.body = min(largest_body, int(content.get("contents_bytes", limits.body)))
-        limits.head_s = float(content.get("envelope_s", limits.head_s))
-        limits.idle_s = float(content.get("idle_s", limits.idle_s))
+        limits.head, limits.body = new.head_bytes, min(largest_body, new.body_bytes)
+        limits.head_s, limits.idle_s = new.head_s, new.idle_s
--- a/foxspread/mesh/configuration/document.py
+++ b/foxspread/mesh/configuration/document.py
@@ -57,6 +57,25 @@
     return RouteMatch(route[HOST].lower(), route[RULE][MATCH][PREFIX])
 
 
+class ClientLimits(NamedTuple):
+    """What a client of a sidecar may send, and how long it may take."""
+
+    head_bytes: int
+    body_bytes: int
+    head_s: float
+    idle_s: float
+
+
+def client_limits(limits: Content, former: ClientLimits) -> ClientLimits:
+    """The limits that a content sets; those that it leaves out stay as they were."""
+    return ClientLimits(
+        head_bytes=int(limits.get(HEAD_BYTES, former.head_bytes)),
+        body_bytes=int(limits.get(BODY_BYTES, former.body_bytes)),
+        head_s=float(limits.get(HEAD_S, former.head_s)),
+        idle_s=float(limits.get(IDLE_S, former.idle_s)),
+    )
+
+
 def configuration_document(items: Iterable[Item]) -> dict[str, Any]:
     """All items in force that the operator set, in the form in which a call sets them."""
     gates: dict[str, list] = {}
--- a/tests/mesh/configuration/test_document.py
+++ b/tests/mesh/configuration/test_document.py
@@ -3,13 +3,23 @@
 import orjson
 import testtools
 
-from foxspread.mesh.configuration.document import configuration_document
+from foxspread.mesh.configuration.document import ClientLimits, client_limits, configuration_document
 from foxspread.mesh.configuration.items import LIMITS, ROUTE, SERVICE, Item
 from foxspread.mesh.configuration.validation import parse_call
 from tests.mesh.configuration.support import LIMITS_CONTENT, SERVICE_CONTENT, by_key, gates
 from tests.mesh.helpers import rule
 
 
+class ClientLimitsTest(testtools.TestCase):
+    def test_limits_that_are_left_out_stay(self) -> None:
+        former = ClientLimits(1, 2, 3.0, 4.0)
+        self.assertEqual(former, client_limits({"edition": "r1"}, former))
+        self.assertEqual(ClientLimits(16384, 67108864, 3.0, 15.0), client_limits(LIMITS_CONTENT, former))
+        self.assertEqual(
+            ClientLimits(9, 2, 0.5, 4.0), client_limits({"envelope_bytes": 9.7, "envelope_s": 0.5}, former)
+        )
+
+
 class ConfigurationDocumentTest(testtools.TestCase):
     def test_a_configuration_reads_as_it_was_sent(self) -> None:
         # The operator compares the two: unknown keys too, tombstones not.
