--- a/foxspread/mesh/hollow/sidecar.py
+++ b/foxspread/mesh/hollow/sidecar.py
@@ -1,6 +1,6 @@
 """One hollow sidecar: a node as in service, without listeners for requests and without a platform, whose
 server's beats are handed in. What it depends on of `Node`: the constructor, `run`, `reload_settings`,
-`table.put`, `records.update`, `learner`, `links.connections`, `endpoints.desks`.
+`table.put`, `records.update`, `sync.learner`, `links.connections`, `endpoints.desks`.
 """
 
 import asyncio
@@ -84,7 +84,7 @@
         return (
             (0, 0, 0)
             if node is None
-            else (len(node.learner.items), len(node.records.by_node), len(node.links.connections))
+            else (len(node.sync.learner.items), len(node.records.by_node), len(node.links.connections))
         )
 
     def _marked(self, node: Node) -> None:
