--- a/tests/mesh/replication/test_reconfiguration.py
+++ b/tests/mesh/replication/test_reconfiguration.py
@@ -10,10 +10,10 @@
 from foxspread.mesh.configuration.items import LEASE, Item
 from foxspread.mesh.errors import Conflict, OutcomeUnknown
 from foxspread.mesh.replication import reconfiguration as r
+from foxspread.mesh.replication.learner import Learner
+from foxspread.mesh.replication.membership import MemberSet, differs_by_one, is_quorum, member_set_of
 from foxspread.mesh.replication.messages import Report
 from foxspread.mesh.replication.quorum_contact import ReceivedReport
-from foxspread.mesh.replication.learner import Learner
-from foxspread.mesh.replication.membership import MemberSet, member_set_of, differs_by_one, is_quorum
 
 TICK_S = 0.1
 
@@ -202,7 +202,7 @@
         field.run(8)
         self.assertEqual("a1 c3 e2", field.of())
         self.assertTrue(
-            r.UNHEARD_LIMIT_S < field.log[0][0] - lost_at and field.log[-1][0] - lost_at < 5.0, field.log
+            field.log[0][0] - lost_at > r.UNHEARD_LIMIT_S and field.log[-1][0] - lost_at < 5.0, field.log
         )
         field.up.add("b2")
         self.assertEqual(("a1 c3 e2", 2), (field.run(60).of(), len(field.log)))
