--- a/foxspread/change.py
+++ b/foxspread/change.py
@@ -1,5 +1,5 @@
 """Other settings for a balancer that runs: marks, measures, budgets and lookups in flight go on. Bookkeeping,
-no decision; docs/design/agreed.md says why it is done in place.
+no decision; docs/design/fleet-rules.md says why it is done in place.
 
 What follows from settings alone is worked out by a new `Balancer`, which has met no server and costs little,
 and taken from it: no formula stands twice. Lookups that were taken before go on to their one answer under the
--- /dev/null
+++ b/foxspread/fleet_rules/sidecar_rules.py
@@ -0,0 +1,247 @@
+"""What a sidecar's decisions are made under at this moment, where it follows the fleet's rules. Loaded where
+the operator's file has an `[agreed]` section, and by nothing else.
+
+`present` is asked before each decision and right before each first byte. It compares what the lease holder
+may act on at that moment with what the sidecar acts on, and changes that at once where they differ: so
+nothing is done under rules whose lease expired while the process was stopped.
+"""
+
+import asyncio
+import os
+import pathlib
+import secrets
+import time
+import zlib
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
+from typing import Any
+
+from loguru import logger
+
+from foxspread.config import ConfigError, NamedServer, Section, named_server, settings
+from foxspread.fleet_rules import codec, flat_rules
+from foxspread.fleet_rules.codec import AloneState
+from foxspread.fleet_rules.flat_rules import FlatRules, UnsupportedRuleError
+from foxspread.fleet_rules.lease_client import LeaseClient
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
+from foxspread.fleet_rules.version_content import VersionContent, parse_version
+from foxspread.operator.file import Agreed
+from foxspread.sums import Chance
+
+MAX_FILE_CHARACTERS = 1 << 20  # of the alone state's file; a version takes 32 KiB
+MAX_NAME_CHARACTERS = 48  # of a sidecar's name in its holder id, of which coordinators take 64
+DIGEST_CHARACTERS = 12  # of a version's digest in a line of the log
+
+
+@dataclass
+class ActiveRules:
+    """What a sidecar acts on: settings as the balancer takes them, None where nothing may be done."""
+
+    mode: Mode = Mode.NONE
+    phase: int = -1
+    settings: dict[str, Any] | None = None
+    servers: list[NamedServer] | None = None  # None: discovery has the list
+    taken_out: frozenset[str] = frozenset()
+    only: frozenset[str] | None = None
+    until: float = float("-inf")  # by the machine's clock: when this changes by itself
+
+    @property
+    def alone(self) -> bool:
+        """Whether the lease has expired, and only the alone part holds."""
+        return self.mode is Mode.ALONE
+
+
+@dataclass
+class SidecarRules:
+    """`section`: of the operator's file. `own`: what the sidecar has for itself (`zone`, `position`,
+    `seed`). `clock` goes on while the machine is suspended: a lease runs on then."""
+
+    section: Agreed
+    name: str
+    own: dict[str, Any]
+    clock: Callable[[], float] = lambda: time.clock_gettime(time.CLOCK_BOOTTIME)
+    active: ActiveRules = field(default_factory=ActiveRules)
+    client: LeaseClient | None = None
+
+    def __post_init__(self) -> None:
+        self.holder_id = _holder_id(self.name)
+        self.chance = Chance(zlib.crc32(self.holder_id.encode()))
+        self.boot = _boot_id()
+        self.holder = LeaseHolder(
+            self.clock(),
+            self.holder_id,
+            self._check,
+            self.chance.draw,
+            boot=self.boot,
+            restored=self._read_alone_state(),
+        )
+        self.on_change: Callable[[ActiveRules], None] = lambda active: None
+        self.seen_phase = -1  # the holder's phase when it was last looked at
+        self.written_at = float("-inf")  # when the alone state was last written
+        self.writing: asyncio.Task | None = None
+
+    def start(self, changed: Callable[[ActiveRules], None]) -> None:
+        """`changed` is called whenever the active rules change, and has to take that up before it returns."""
+        self.on_change = changed
+        self.client = LeaseClient(
+            self.holder,
+            self.clock,
+            self.section.coordinators,
+            self.chance.draw,
+            self._activate,
+            self._on_renewal,
+        )
+        self._activate(self.holder.effective(self.clock()))
+
+    def present(self) -> bool:
+        """Whether anything may be done at this moment; the active rules are then those that hold now."""
+        now = self.clock()
+        if self.client is None:
+            return False  # nobody takes up what changes yet
+        if now >= self.active.until or self.holder.phase != self.seen_phase:
+            self._activate(self.holder.effective(now))
+        return self.active.settings is not None
+
+    def between(self) -> bool:
+        """Whether a category that is not there may be there again soon."""
+        return self.active.mode is not Mode.IN_FORCE
+
+    def back_in(self) -> float:
+        """Seconds after which a client may come again that nothing can be done for."""
+        return 0.5 + self.chance.draw()
+
+    def _on_renewal(self) -> None:
+        now = self.clock()
+        if self.section.file and now - self.written_at > self.holder.lease_seconds:
+            self._write_alone_state(now)
+
+    def _activate(self, effective: EffectiveRules) -> None:
+        until, self.seen_phase = self.holder.next_expiry(self.clock()), self.holder.phase
+        if (effective.mode, effective.phase) == (self.active.mode, self.active.phase):
+            self.active.until = until
+            return
+        self.active = ActiveRules(effective.mode, effective.phase, until=until)
+        if effective.mode is not Mode.NONE:
+            try:
+                rules = self._balancer_rules(effective.rules)
+                self.active = replace(rules, mode=effective.mode, phase=effective.phase, until=until)
+            except ConfigError as error:  # it was checked: guards service against a fault of our own
+                logger.error("rules of phase {} can't be acted on: {}", effective.phase, error)
+        logger.info(
+            "rules mode={} phase={} version={} next={} digest={}",
+            effective.mode.value,
+            effective.phase,
+            self.holder.in_force,
+            self.holder.announced,
+            self._digest()[:DIGEST_CHARACTERS] or "-",
+        )
+        self.on_change(self.active)
+        self.written_at = float("-inf")
+
+    def _digest(self) -> str:
+        """Of the version in force, empty where its content is not here."""
+        content = self.holder.contents.get(self.holder.in_force)
+        return content.digest if content is not None else ""
+
+    def _balancer_rules(self, rules: FlatRules) -> ActiveRules:
+        """Rules in the form in which the balancer takes them. Raises `ConfigError` with key and value."""
+        tree = flat_rules.unflatten(rules)
+        lists = tree.get("lists", {})
+        own = {"az": self.own["zone"], "position": self.own["position"]}
+        arguments = settings(Section(tree.get("settings", {}) | own, "settings"), self.own["seed"])
+        servers, only = None, lists.get("only", "all")
+        if lists.get("source") == "here":
+            rows = Section({"servers": lists.get("servers", [])}, "lists").sections("servers")
+            servers = [named_server(Section(row.values | {"state": "ready"}, row.path)) for row in rows]
+        return ActiveRules(
+            settings=arguments | {"asks": True},
+            servers=servers,
+            taken_out=frozenset(lists.get("taken_out", [])),
+            only=None if only == "all" else frozenset(only),
+        )
+
+    def _check(self, text: bytes) -> VersionContent:
+        """Before it confirms: whether this build, on this machine, could act on it in all modes."""
+        try:
+            content = parse_version(text)
+            for rules in (content.rules, content.alone):
+                if rules:
+                    self._balancer_rules(rules)
+        except (ConfigError, UnsupportedRuleError) as error:
+            raise ValueError(str(error)) from None
+        return content
+
+    def figures(self) -> dict[str, Any]:
+        """For `/stats` and the health of the operators' port."""
+        now, holder = self.clock(), self.holder
+        return {
+            "mode": self.active.mode.value,
+            "phase": holder.phase,
+            "version": holder.in_force,
+            "next": holder.announced,
+            "digest": self._digest(),
+            "holder": self.holder_id,
+            "lease_left": round(max(0.0, holder.lease_until - now), 3),
+            "alone_left": round(max(0.0, holder.alone_until - now), 3) if holder.alone else 0.0,
+            "turned_down": holder.refusal_reason,
+            "calls": self.client.calls if self.client else 0,
+            "calls_failed": self.client.failed_calls if self.client else 0,
+        }
+
+    # What is kept over a restart
+
+    def _read_alone_state(self) -> AloneState | None:
+        """What the file says, where it is of this boot of the machine; a lease is never kept."""
+        if not self.section.file or not self.boot:
+            return None
+        try:
+            with open(self.section.file, encoding="utf-8") as file:
+                state = codec.decode_alone_state(file.read(MAX_FILE_CHARACTERS))
+            if state.boot == self.boot and state.alone:
+                self._balancer_rules(state.alone)
+        except FileNotFoundError:
+            return None
+        except (OSError, ValueError, KeyError, TypeError, RecursionError, ConfigError) as error:
+            logger.warning("'agreed.file': {} is left out: {}", self.section.file, error)
+            return None
+        return state
+
+    def _write_alone_state(self, now: float) -> None:
+        """In a thread of its own, for a disk may stall; one at a time."""
+        if self.writing is not None and not self.writing.done():
+            return
+        self.written_at = now
+        text = codec.encode_alone_state(self.holder.alone_state())
+        self.writing = asyncio.ensure_future(asyncio.to_thread(self._replace_file, text))
+
+    def _replace_file(self, text: str) -> None:
+        new = pathlib.Path(self.section.file + ".new")
+        try:
+            new.write_text(text, encoding="utf-8")
+            os.replace(new, self.section.file)
+        except OSError as error:
+            logger.warning("'agreed.file': {} is not written: {}", self.section.file, error)
+
+    async def close(self) -> None:
+        """Ends its calls, and lets a file that is being written come to its end."""
+        if self.client is not None:
+            await self.client.close()
+        if self.writing is not None:
+            await asyncio.gather(self.writing, return_exceptions=True)
+
+
+def _holder_id(name: str) -> str:
+    """One of its own for each start: another process under this name may still hold a lease."""
+    safe = "".join(
+        character if character.isascii() and (character.isalnum() or character in "._-") else "-"
+        for character in name
+    )
+    return f"{safe[:MAX_NAME_CHARACTERS]}/{secrets.token_hex(4)}"
+
+
+def _boot_id() -> str:
+    """Of the machine's present run; empty where it can't be read, and then nothing is kept."""
+    try:
+        return pathlib.Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+    except OSError:
+        return ""
--- /dev/null
+++ b/foxspread/lab/processes/end_to_end_child.py
@@ -0,0 +1,99 @@
+"""A whole sidecar with one thing broken, for the judge to be tried on.
+
+python -m foxspread.lab.processes.end_to_end_child MUTANT --operator FILE
+"""
+
+import sys
+from collections.abc import Callable
+from typing import Any
+
+from foxspread import __main__ as sidecar
+from foxspread import change
+from foxspread.fleet_rules import sidecar_rules
+from foxspread.fleet_rules.lease_holder import LeaseHolder
+from foxspread.fleet_rules.sidecar_rules import SidecarRules
+from foxspread.fleet_rules.version_content import VersionContent
+from foxspread.lab.processes.fleet_rules_mutants import FromAnswer, Newest
+from foxspread.net.sidecar import Sidecar
+
+OLDER_BUILD_LIMIT = 4  # hand-offs that the older build knows
+
+
+def with_holder(kind: type[LeaseHolder]) -> Callable[[], None]:
+    """A broken lease holder in place of the sound one."""
+
+    def install() -> None:
+        sidecar_rules.LeaseHolder = kind
+
+    return install
+
+
+def own_file() -> None:
+    """Acts by its own file's rules until it hears of others."""
+    sound_init = Sidecar.__init__
+
+    def broken_init(self: Sidecar, *arguments: Any, **options: Any) -> None:
+        sound_init(self, *arguments, **options)
+        self.facade.change(self.clock(), self.config.decisions)
+        self.counts.know(self.facade.categories)
+
+    Sidecar.__init__ = broken_init
+    sound_present = SidecarRules.present
+    SidecarRules.present = lambda self: sound_present(self) or not self.holder.in_force
+
+
+def old_lookups() -> None:
+    """Lookups that were accepted before a change go on as before it."""
+    change._lookups = lambda it, now: None
+
+
+def late_change() -> None:
+    """Confirms what it will act on half a second later."""
+    sound = Sidecar._ruled
+    Sidecar._ruled = lambda self, rules: self.loop.call_later(0.5, sound, self, rules)
+
+
+def out_unheard() -> None:
+    """Sends to servers that are taken out for all."""
+    change.lists = lambda it, now, taken_out, only: None
+
+
+def list_kept() -> None:
+    """Goes on by the first list that it had."""
+    sound = Sidecar._ruled_list
+    Sidecar._ruled_list = lambda self, rules: None if self.list_ruled else sound(self, rules)
+
+
+def regroups() -> None:
+    """Repeats labelled lookups by groups that are other ones than when they were first sent."""
+    change.regrouped = lambda it, entries: None
+
+
+def older_build() -> None:
+    """Not broken: it knows no more than four hand-offs, and says so."""
+    sound_check = SidecarRules._check
+
+    def check(self: SidecarRules, text: bytes) -> VersionContent:
+        content = sound_check(self, text)
+        if content.rules["settings.limits.max_hand_offs"] > OLDER_BUILD_LIMIT:
+            raise ValueError(f"'settings.limits.max_hand_offs' must be at most {OLDER_BUILD_LIMIT}")
+        return content
+
+    SidecarRules._check = check
+
+
+MUTANTS: dict[str, Callable[[], None]] = {
+    "newest": with_holder(Newest),
+    "from_answer": with_holder(FromAnswer),
+    "own_file": own_file,
+    "old_lookups": old_lookups,
+    "late_change": late_change,
+    "out_unheard": out_unheard,
+    "list_kept": list_kept,
+    "regroups": regroups,
+    "older_build": older_build,
+}
+
+if __name__ == "__main__":
+    MUTANTS[sys.argv[1]]()
+    sys.exit(sidecar.main(sys.argv[2:]))
