--- a/foxspread/mesh/cli.py
+++ b/foxspread/mesh/cli.py
@@ -103,10 +103,13 @@
     import uvloop
 
     from foxspread.mesh.local_cluster.layout import LayoutError, read
-    from foxspread.mesh.local_cluster.smoke_test import SmokeTest
+    from foxspread.mesh.local_cluster.smoke_test import Figures, SmokeTest
+
+    async def run() -> Figures:
+        return await SmokeTest(read(folder), click.echo).run(requests)  # it needs the running loop
 
     try:
-        figures = uvloop.run(SmokeTest(read(folder), click.echo).run(requests))
+        figures = uvloop.run(run())
     except LayoutError as error:
         raise click.ClickException(str(error)) from None
     click.echo("\n".join(figures.lines()))
