--- a/foxspread/mesh/replication/cluster_view.py
+++ b/foxspread/mesh/replication/cluster_view.py
@@ -51,8 +51,9 @@
     def fresh_report(self, now: float, name: str) -> Report | None:
         """What that replica says of itself now; None where nothing has come of late."""
         received = self.reports.get(name)
-        is_fresh = received is not None and now - received.received_at <= REPORT_FRESH_S
-        return received.report if is_fresh else None
+        if received is None or now - received.received_at > REPORT_FRESH_S:
+            return None
+        return received.report
 
     def is_fit(self, report: Report) -> bool:
         """It votes, and has the committed member set, or a newer one, with all that came before."""
@@ -62,6 +63,6 @@
         """The zone of each replica."""
         return {name: received.report.zone for name, received in self.reports.items()}
 
-    def disks(self, names: tuple[str, ...]) -> dict[str, list]:
+    def disks(self, names: tuple[str, ...]) -> dict[str, list[int | str]]:
         """The disks of these, as far as reported: whoever commits the change knows of them."""
         return {name: list(self.reports[name].report.disk) for name in names if name in self.reports}
--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -6,10 +6,10 @@
 """
 
 from bisect import bisect_right
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 from hashlib import blake2b
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -34,7 +34,7 @@
 NONE: ProposalNumber = (0, "")  # below every proposal
 # A packed committed item: kind, name, version, content, both parts of the proposal number, and the item's
 # past where it has one.
-Row = list
+Row = list[Any]
 Offset = tuple[ProposalNumber, Key]  # a position in the order of proposal numbers, then of keys
 LAST: Key = ("\U0010ffff", "")  # after each key of a proposal
 START: Offset = (NONE, LAST)
@@ -49,7 +49,7 @@
     proposal_number: ProposalNumber
 
 
-def unpack_proposal_number(packed: list | tuple) -> ProposalNumber:
+def unpack_proposal_number(packed: Sequence[Any]) -> ProposalNumber:
     """From JSON, which knows no tuples."""
     return int(packed[0]), str(packed[1])
 
@@ -75,7 +75,7 @@
     return committed_number, LAST
 
 
-def pack_offset(offset: Offset) -> list | None:
+def pack_offset(offset: Offset) -> list[Any] | None:
     """Both parts of the number, and kind and name within a proposal; None: the start."""
     proposal_number, key = offset
     if offset == START:
@@ -83,7 +83,7 @@
     return [*proposal_number] if key == LAST else [*proposal_number, *key]
 
 
-def unpack_offset(packed: list | None) -> Offset:
+def unpack_offset(packed: list[Any] | None) -> Offset:
     """The reverse of `pack_offset`."""
     if packed is None:
         return START
@@ -120,8 +120,8 @@
         self.offsets: list[Offset] = []  # of all in `changed_at`, sorted; some are stale
         self.floor = 0  # items dropped at no higher version and no later than `horizon` are collected
         self.horizon: ProposalNumber = NONE
-        self.clock = 0  # the agreed clock: the largest time in any item
-        self.refused_since = 0  # refusals from before this time of the agreed clock are collected
+        self.clock: float = 0  # the agreed clock: the largest time in any item
+        self.refused_since: float = 0  # refusals from before this time of the agreed clock are collected
         self.collected: list[Key] = []  # by the last `fold` or `replace`: a storage deletes their rows
 
     def fold(self, committed_number: ProposalNumber, rows: Iterable[CommittedItem]) -> list[Item]:
@@ -186,7 +186,8 @@
     ) -> SnapshotChunk:
         """The rows after that offset, up to about `limit_bytes` of JSON; `for_sidecars`: only what
         processes without storage hold."""
-        rows, size, more = [], 0, False
+        rows: list[Row] = []
+        size, more = 0, False
         for index in range(bisect_right(self.offsets, after), len(self.offsets)):
             proposal_number, key = self.offsets[index]
             if self.changed_at.get(key) != proposal_number:
--- a/foxspread/mesh/replication/membership.py
+++ b/foxspread/mesh/replication/membership.py
@@ -33,7 +33,9 @@
     return MemberSet(item.version, tuple(sorted(item.content["of"])))
 
 
-def membership_change(old: MemberSet, of: Iterable[str], disks: Mapping[str, list] | None = None) -> Item:
+def membership_change(
+    old: MemberSet, of: Iterable[str], disks: Mapping[str, list[int | str]] | None = None
+) -> Item:
     """The item that proposes `of` as the next set; `disks`: their identities, as far as known."""
     return Item(MEMBERS, MEMBERS, old.epoch + 1, {"of": sorted(of), "disks": dict(disks or {})})
 
--- a/foxspread/mesh/replication/quorum_contact.py
+++ b/foxspread/mesh/replication/quorum_contact.py
@@ -65,7 +65,7 @@
     @staticmethod
     def reply(request: ContactRequest, own: Report, rolled_back: bool = False) -> ContactReply:
         """`rolled_back`: the disk of the sender is an older copy of itself."""
-        incarnation = request.disk.incarnation if rolled_back else None
+        incarnation = request.disk.incarnation if rolled_back and request.disk is not None else None
         return ContactReply(request.number, own, incarnation)
 
     def receive(self, now: float, sender: str, message: ContactReply) -> None:
--- a/foxspread/mesh/replication/reconfiguration.py
+++ b/foxspread/mesh/replication/reconfiguration.py
@@ -129,7 +129,7 @@
             return self._submit(
                 now, version + 1, [membership_change(view.members, change, view.disks(change))]
             )
-        if now >= self._turn_at(view) and self._may_take_lease(now, view.lease):
+        if now >= self._turn_at(view, self.need) and self._may_take_lease(now, view.lease):
             return self._submit(now, version + 1, [])
         return None
 
@@ -312,7 +312,7 @@
 
     # The lease.
 
-    def _turn_at(self, view: ClusterView) -> float:
+    def _turn_at(self, view: ClusterView, need: Need) -> float:
         """When this machine may take the lease: the holder is first, the others follow in order, and see by
         then that it is taken."""
         holder = view.lease.content["holder"] if view.lease is not None else None
@@ -325,7 +325,7 @@
             and not view.reports[name].report.leaving
         ]
         order = sorted(able, key=lambda name: (name != holder, name))
-        return self.need.since + TURN_S * (order.index(self.me) + 0.5 * self.need.jitter)
+        return need.since + TURN_S * (order.index(self.me) + 0.5 * need.jitter)
 
     def _may_take_lease(self, now: float, lease: Item | None) -> bool:
         if lease is None or lease.content == self._lease_content():
--- a/foxspread/mesh/replication/replica_server.py
+++ b/foxspread/mesh/replication/replica_server.py
@@ -6,6 +6,7 @@
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.replication.membership import MemberSet
 from foxspread.mesh.replication.messages import Fields
+from foxspread.mesh.replication.proposer import Outcome
 from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
 from foxspread.mesh.replication.storage import Storage
 
@@ -34,9 +35,9 @@
         """The members, as committed here."""
         return self.acceptor.members
 
-    def submit(self, items: list[Item]) -> asyncio.Future:
+    def submit(self, items: list[Item]) -> "asyncio.Future[Outcome]":
         """Resolves to True, or to a `Failure`; without items it is a read."""
-        future = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         timeout_s = self.call_timeout_s() + TIMEOUT_PER_ITEM_S * len(items)
         self.call(items, lambda outcome: None if future.done() else future.set_result(outcome), timeout_s)
         return future
--- a/foxspread/mesh/replication/stored_state.py
+++ b/foxspread/mesh/replication/stored_state.py
@@ -60,7 +60,7 @@
     committed: ProposalNumber = NONE
     accepted: ProposalNumber = NONE
     rows: list[Row] = field(default_factory=list)
-    delta: list = field(default_factory=list)  # packed items that were accepted at `accepted`
+    delta: list[Any] = field(default_factory=list)  # packed items that were accepted at `accepted`
     disks: dict[str, DiskIdentity] = field(default_factory=dict)  # of other members
     voting: bool = False
     members_confirmed: bool = False  # False: `members` are only configured seeds, which may be out of date
--- a/foxspread/mesh/replication/wire_format.py
+++ b/foxspread/mesh/replication/wire_format.py
@@ -3,6 +3,8 @@
 The spelling, and the order of the keys, is the protocol between releases and must not change.
 """
 
+from typing import Any
+
 from foxspread.mesh.configuration.items import Item, unpack_item
 from foxspread.mesh.replication.learner import unpack_proposal_number
 from foxspread.mesh.replication.stored_state import DiskIdentity
@@ -47,12 +49,12 @@
 START_OVER = "again"
 
 
-def pack_items(items: tuple[Item, ...]) -> list[list]:
+def pack_items(items: tuple[Item, ...]) -> list[list[Any]]:
     """Items as JSON has them."""
     return [item.packed() for item in items]
 
 
-def unpack_items(packed: list[list]) -> tuple[Item, ...]:
+def unpack_items(packed: list[list[Any]]) -> tuple[Item, ...]:
     """The reverse of `pack_items`."""
     return tuple(map(unpack_item, packed))
 
