--- a/foxspread/mesh/gossip/anti_entropy.py
+++ b/foxspread/mesh/gossip/anti_entropy.py
@@ -108,27 +108,24 @@
         """What to announce to whom since the last call: versions that are new to them as far as known."""
         announcements = []
         dirty = [source for source in self.dirty if source in self.versions]
-        for name, peer in self.peers.items() if dirty else ():
-            if versions := self._due_to(name, peer, dirty):
+        for name, peer in self.peers.items() if dirty else ():  # all peers: no call for each
+            versions = {}
+            if peer.withheld is None:
+                peer.withheld = set(self.versions)
+            for source in dirty:
+                if self.last_change[source] <= peer.notified and source not in peer.withheld:
+                    continue
+                if self.may_announce(name, source):
+                    versions[source] = self.versions[source]
+                    peer.withheld.discard(source)
+                else:
+                    peer.withheld.add(source)
+            peer.notified = self.change_count
+            if versions:
                 announcements.append((name, versions))
         self.dirty.clear()
         return announcements
 
-    def _due_to(self, name: Hashable, peer: Peer, dirty: list[str]) -> dict[str, Version]:
-        versions = {}
-        if peer.withheld is None:
-            peer.withheld = set(self.versions)
-        for source in dirty:
-            if self.last_change[source] <= peer.notified and source not in peer.withheld:
-                continue
-            if self.may_announce(name, source):
-                versions[source] = self.versions[source]
-                peer.withheld.discard(source)
-            else:
-                peer.withheld.add(source)
-        peer.notified = self.change_count
-        return versions
-
     def full_announcement(self, peer: Hashable) -> dict[str, Version]:
         """All versions that a new peer is notified of."""
         versions = {s: v for s, v in self.versions.items() if self.may_announce(peer, s)}
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -135,7 +135,7 @@
             self.instances,
             self.table,
             self.upstreams,
-            lambda: self.sync.has_items,
+            lambda: bool(self.sync.learner.items),
             lambda: self.records.sidecar_count,
         )
         self.configuration = CommittedConfiguration(
@@ -221,7 +221,7 @@
         )
         storage.start()
         acceptor = Acceptor(self.member, saved)
-        self.sync.learner = acceptor.learner
+        self.sync.use_learner(acceptor.learner)
         server.begin(acceptor)
         self.configuration.set_members(server.members.of)
         log_event(
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -271,7 +271,7 @@
         fleet, world = self.fleet, self.world
         saved = self.disk.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
-        self.sync.learner = _in_small_chunks(acceptor.learner)
+        self.sync.use_learner(_in_small_chunks(acceptor.learner))
         draw = Chance(int(world.draw() * 2**32)).draw
         self.replica = fleet.cores.replica(
             self.clock,
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -75,6 +75,7 @@
         self.on_committed, self.on_record = on_committed, on_record
         self.own_record, self.publish_own_record = own_record, publish_own_record
         self.snapshot_transfer = snapshot_transfer
+        self.learner = snapshot_transfer.learner
         self.anti_entropy = AntiEntropy(self.may_announce)
         self.records = EndpointRecords()
         self.has_records = False  # a peer has answered with its records
@@ -89,14 +90,9 @@
             SnapshotRows.kind: self._on_chunk,
         }
 
-    @property
-    def learner(self) -> Learner:
-        """The committed set as held here."""
-        return self.snapshot_transfer.learner
-
-    @learner.setter
-    def learner(self, learner: Learner) -> None:
-        self.snapshot_transfer.learner = learner
+    def use_learner(self, learner: Learner) -> None:
+        """The committed set is held there from now on, as once the disk has been read."""
+        self.learner = self.snapshot_transfer.learner = learner
 
     # Who may hear what.
 
