--- a/tests/agreed/test_stored_commands.py
+++ b/tests/fleet_rules/test_stored_commands.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from foxspread.duties.chief import DutyCourse
+from foxspread.singleton.lease_manager import SingletonRollout
 
 STORED = pathlib.Path(__file__).parents[1] / "data" / "stored" / "coordinator-commands.json"
 
 
 def applied(commands: list[bytes], snapshot: bytes = b"") -> tuple[list[Any], bytes]:
     """What each command gives after that snapshot, and the snapshot after all of them."""
-    machine = DutyCourse()
+    machine = SingletonRollout()
     machine.restore(snapshot)
     results = [msgspec.to_builtins(machine.apply(command)) for command in commands]
     return results, machine.saved()
--- /dev/null
+++ b/tests/fleet_rules/test_wire.py
@@ -0,0 +1,123 @@
+"""The bytes of this package on the wire, in the log and in files, as recorded before its names changed."""
+
+import asyncio
+import json
+import pathlib
+import unittest
+from types import SimpleNamespace
+from unittest import mock
+
+import msgspec
+
+from foxspread.consensus.coordinator import Answer, Status
+from foxspread.consensus.versions import PutVersion
+from foxspread.consensus.wire import encode
+from foxspread.fleet_rules import codec, lease_client
+from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
+from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess
+from foxspread.fleet_rules.leader_state import HolderReport, HolderStatus
+from foxspread.fleet_rules.lease_holder import LeaseHolder
+from foxspread.fleet_rules.rollout import (
+    AdmitHolders,
+    Announce,
+    Command,
+    DropAlonePart,
+    LeaseTerms,
+    PutInForce,
+    RemoveHolders,
+    Rollout,
+    Withdraw,
+)
+
+RECORDED = json.loads((pathlib.Path(__file__).parents[1] / "data/wire/fleet_rules.json").read_text())
+TEXT = b'[settings]\nsiblings = 4\n[[settings.categories]]\nname = "docs"\nabandon_time_us = 1500000\n'
+COMMANDS = {
+    "put": PutVersion("r1", TEXT, -1, "me", "first", 12.5, 1),
+    "terms": LeaseTerms(1.5, 4.0, 0.02, 1),
+    "open": AdmitHolders(["s1/a", "s2/b"]),
+    "close": RemoveHolders(["s2/b"]),
+    "announce": Announce(1),
+    "force": PutInForce(1),
+    "withdraw": Withdraw(3, "s1/a", "it does not fit"),
+    "drop": DropAlonePart(1),
+}
+REPORT = HolderReport({"s1/a": HolderStatus(2), "s2/b": HolderStatus(1, 2, "not known")})
+ALONE_STATE = AloneState("boot", 3, {"settings.siblings": 8}, 12.25)
+
+
+def rollout() -> Rollout:
+    """After all commands but `drop`, and a second version that is withdrawn."""
+    it = Rollout()
+    for name in ("put", "terms", "open", "close", "announce", "force"):
+        it.apply(encode(COMMANDS[name]))
+    for command in (PutVersion("r2", TEXT + b"#2\n"), Announce(2), COMMANDS["withdraw"]):
+        it.apply(encode(command))
+    return it
+
+
+class Log(unittest.TestCase):
+    def test_each_command_of_the_log_is_the_recorded_bytes(self) -> None:
+        for name, command in COMMANDS.items():
+            with self.subTest(name):
+                self.assertEqual(encode(command).hex(), RECORDED["commands"][name])
+                data = bytes.fromhex(RECORDED["commands"][name])
+                self.assertEqual(msgspec.msgpack.decode(data, type=Command), command)
+
+    def test_the_report_of_a_member_is_the_recorded_bytes(self) -> None:
+        self.assertEqual(encode(REPORT).hex(), RECORDED["report"])
+        decoded = msgspec.msgpack.decode(bytes.fromhex(RECORDED["report"]), type=HolderReport)
+        self.assertEqual(encode(decoded), encode(REPORT))
+
+    def test_the_snapshot_is_the_recorded_bytes_both_ways(self) -> None:
+        self.assertEqual(rollout().saved().hex(), RECORDED["snapshot"])
+        restored = Rollout()
+        restored.restore(bytes.fromhex(RECORDED["snapshot"]))
+        self.assertEqual(restored.saved().hex(), RECORDED["snapshot"])
+
+
+class Http(unittest.TestCase):
+    def test_a_request_is_the_recorded_body_and_its_grant_is_read(self) -> None:
+        calls = []
+
+        async def call(at: str, *arguments: object) -> SimpleNamespace:
+            calls.append(arguments)
+            return SimpleNamespace(value=json.loads(RECORDED["grant"]))
+
+        async def main() -> LeaseHolder:
+            holder = LeaseHolder(0.0, "s1/a", lambda text: None, lambda: 0.5)
+            with mock.patch.object(lease_client, "call", call):
+                it = lease_client.LeaseClient(holder, lambda: 1.0, ["at"], lambda: 0.5)
+                await it._send(LeaseRequest("s1/a", 1.0, 2, 3, "not known"))
+                await it.close()
+            return holder
+
+        holder = asyncio.run(main())
+        self.assertEqual(calls[0][:3], ("POST", "/lease", RECORDED["ask"].encode()))
+        self.assertEqual((holder.lease_seconds, holder.drift), (1.5, 0.05))
+
+    def test_a_coordinator_grants_a_lease_by_the_recorded_body(self) -> None:
+        process, asks = object.__new__(LeaseManagerProcess), []
+
+        async def ask(call: object, ask: LeaseRequest) -> Answer:
+            asks.append(ask)
+            return Answer(1, Status.DONE, LeaseGrant(4, 1, 2, 1.5, 4.0, 0.05), "c1")
+
+        process._submit, process.host = ask, SimpleNamespace(request_lease=None)
+        status, body = asyncio.run(process._lease(json.loads(RECORDED["ask"])))
+        self.assertEqual((status, body.decode()), (200, RECORDED["grant"]))
+        self.assertEqual(asks, [LeaseRequest("s1/a", 0.0, 2, 3, "not known")])
+
+    def test_a_coordinator_shows_the_rollout_in_the_recorded_form(self) -> None:
+        process = object.__new__(LeaseManagerProcess)
+        lead = SimpleNamespace(last_heard={"s1/a": 1.0}, statuses={"s1/a": HolderStatus(3, 4, "not known")})
+        process.host = SimpleNamespace(rollout=rollout(), lead=lead)
+        process.config, process.clock = SimpleNamespace(name="c1"), lambda: 3.5
+        self.assertEqual(json.dumps(process.rollout_status()), RECORDED["course"])
+        process.host.lead = None
+        self.assertEqual(json.dumps(process.rollout_status()), RECORDED["course of a follower"])
+
+
+class File(unittest.TestCase):
+    def test_what_is_kept_over_a_restart_is_the_recorded_text(self) -> None:
+        self.assertEqual(codec.encode_alone_state(ALONE_STATE), RECORDED["kept"])
+        self.assertEqual(codec.decode_alone_state(RECORDED["kept"]), ALONE_STATE)
