--- a/foxspread/mesh/cli.py
+++ b/foxspread/mesh/cli.py
@@ -15,6 +15,7 @@
 
 if TYPE_CHECKING:
     from foxspread.mesh.hollow.experiment import Shape, Size
+    from foxspread.mesh.local_cluster.smoke_test import Figures
 
 MAX_HOLLOW_SIDECARS = 3000  # more do not fit one machine
 ALIASES = {"try": "smoke-test", "sim": "simulate", "weigh": "sizing"}  # former names
@@ -102,17 +103,23 @@
     """
     import uvloop
 
-    from foxspread.mesh.local_cluster.layout import LayoutError, read
-    from foxspread.mesh.local_cluster.smoke_test import SmokeTest
+    from foxspread.mesh.local_cluster.layout import LayoutError
 
     try:
-        figures = uvloop.run(SmokeTest(read(folder), click.echo).run(requests))
+        figures = uvloop.run(_smoke_test(folder, requests))
     except LayoutError as error:
         raise click.ClickException(str(error)) from None
     click.echo("\n".join(figures.lines()))
     sys.exit(0 if figures.good else 1)
 
 
+async def _smoke_test(folder: str, requests: int) -> "Figures":
+    from foxspread.mesh.local_cluster.layout import read
+    from foxspread.mesh.local_cluster.smoke_test import SmokeTest
+
+    return await SmokeTest(read(folder), click.echo).run(requests)  # made in the loop that it runs in
+
+
 def _seeds(context: click.Context, option: click.Option, text: str) -> range:
     try:
         first, _, last = text.partition("-")
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -1,7 +1,10 @@
 """The commands of the mesh: their names, former and present, and what listing them loads."""
 
+import asyncio
 import subprocess
 import sys
+from types import SimpleNamespace
+from unittest import mock
 
 import testtools
 from click.testing import CliRunner
@@ -34,6 +37,31 @@
         self.assertIn("\n  mesh ", self.invoke(foxspread, "--help").output)
 
 
+class SmokeTestCommand(testtools.TestCase):
+    """The command itself; what it tests is in test_local_cluster."""
+
+    def run_with(self, good):
+        class SmokeTest:
+            def __init__(self, layout, echo):
+                asyncio.get_running_loop()  # as the real one asks for it
+                self.layout = layout
+
+            async def run(self, requests):
+                return SimpleNamespace(good=good, lines=lambda: [f"{self.layout} {requests}"])
+
+        package = "foxspread.mesh.local_cluster"
+        with (
+            mock.patch(f"{package}.smoke_test.SmokeTest", SmokeTest),
+            mock.patch(f"{package}.layout.read", str),
+        ):
+            return CliRunner().invoke(mesh, ["smoke-test", "DIR", "--requests", "77"])
+
+    def test_figures_are_printed_and_the_exit_code_says_whether_they_are_good(self):
+        for good, code in ((True, 0), (False, 1)):
+            result = self.run_with(good)
+            self.assertEqual((code, "DIR 77\n"), (result.exit_code, result.output))
+
+
 class Loading(testtools.TestCase):
     def loaded(self, code):
         names = "[name for name in ('uvloop', 'orjson', 'cerberus', 'click') if name in sys.modules]"
