--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -277,7 +277,7 @@
         fleet, simulation = self.fleet, self.simulation
         saved = self.storage.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
-        self.sync.learner = _in_small_chunks(acceptor.learner)
+        self.sync.use_learner(_in_small_chunks(acceptor.learner))
         draw = Chance(int(simulation.draw() * 2**32)).draw
         self.replica = fleet.cores.replica(
             self.clock,
