--- a/foxspread/mesh/control_api/configuration.py
+++ b/foxspread/mesh/control_api/configuration.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable, Mapping
-from typing import Any, Literal, Protocol
+from typing import TYPE_CHECKING, Literal, Protocol
 
 from foxspread.mesh.configuration.document import configuration_document
 from foxspread.mesh.configuration.items import Item
@@ -10,13 +10,16 @@
 from foxspread.mesh.errors import Failure, InvalidRequest, OutcomeUnknown
 from foxspread.mesh.log import log_event
 
+if TYPE_CHECKING:
+    from foxspread.mesh.replication.acceptor import Acceptor
+
 AFTER_SUSPENSION = "this process stood still: the call may be an old copy"
 
 
 class Replica(Protocol):
     """What the resource needs of a replica (`replication.replica_server`)."""
 
-    acceptor: Any  # its `learner.items` are the items in force
+    acceptor: "Acceptor | None"  # its `learner.items` are the items in force; None: not open yet
 
     def submit(self, items: list[Item]) -> Awaitable[Literal[True] | Failure]:
         """Has a majority agree on a change; without items, only on what is in force now."""
