--- a/tests/agreed/test_stored_rules_file.py
+++ b/tests/fleet_rules/test_stored_rules_file.py
@@ -7,10 +7,10 @@
 import shutil
 import tempfile
 import unittest
-from dataclasses import asdict
 from typing import Any
 
-from foxspread.agreed.party import Party
+from foxspread.fleet_rules import codec
+from foxspread.fleet_rules.sidecar_rules import SidecarRules
 from foxspread.operator.file import Agreed
 
 STORED = pathlib.Path(__file__).parents[1] / "data" / "stored" / "agreed-rules.json"
@@ -22,9 +22,10 @@
 def started(file: pathlib.Path, now: float) -> tuple[dict[str, Any], dict[str, Any]]:
     """A sidecar's part in agreed rules as it starts with that file: what it keeps for the next start, and the
     mode and rules that it acts on."""
-    party = Party(Agreed((), str(file)), "n0", OWN, clock=lambda: now)
-    acting = party.holder.acting(now)
-    return asdict(party.holder.kept()), {"mode": acting.mode.value, "rules": acting.rules}
+    sidecar_rules = SidecarRules(Agreed((), str(file)), "n0", OWN, clock=lambda: now)
+    effective = sidecar_rules.holder.effective(now)
+    kept = json.loads(codec.encode_alone_state(sidecar_rules.holder.alone_state()))
+    return kept, {"mode": effective.mode.value, "rules": effective.rules}
 
 
 class TestStoredRulesFile(unittest.TestCase):
