--- a/foxspread/cli/coordinator.py
+++ b/foxspread/cli/coordinator.py
@@ -95,7 +95,7 @@
     import uvloop
     from loguru import logger
 
-    from foxspread.consensus import configuration as files
+    from foxspread.consensus import configuration
     from foxspread.consensus.errors import StorageError
     from foxspread.fleet_rules.coordinator_process import LeaseManagerProcess, check_version, with_terms
     from foxspread.net import log
@@ -110,7 +110,7 @@
         await (process or LeaseManagerProcess)(loop, told, check_version).run(stop)
 
     try:
-        told = with_terms(files.read(file), file)
+        told = with_terms(configuration.read(file), file)
     except ConfigError as error:
         click.echo(f"foxspread: {error}", err=True)
         return 2
