--- a/bench/eight_orders.py
+++ b/bench/eight_orders.py
@@ -10,8 +10,8 @@
 
 from foxspread.mesh.configuration.items import SERVICE, Item
 from foxspread.mesh.simulation import simulated_storage
-from foxspread.mesh.simulation.fleet import Fleet
 from foxspread.mesh.simulation.events import Event, EventKind
+from foxspread.mesh.simulation.fleet import Fleet
 from foxspread.mesh.simulation.schedule import Plan
 
 
