--- a/foxspread/mesh/cli.py
+++ b/foxspread/mesh/cli.py
@@ -161,6 +161,7 @@
     from dataclasses import replace
 
     from foxspread.mesh.simulation.campaign import run_campaign, trace_seed
+    from foxspread.mesh.simulation.events import EventKind
     from foxspread.mesh.simulation.mutants import MUTANTS
     from foxspread.mesh.simulation.schedule import named_plans
 
@@ -170,7 +171,7 @@
         raise click.BadParameter(f"{', '.join(unknown)}: of {', '.join(plan.faults)}", param_hint="--faults")
     if broken and broken not in MUTANTS:
         raise click.BadParameter(f"{broken}: one of {', '.join(MUTANTS)}", param_hint="--broken")
-    plan = replace(plan, faults=kinds)
+    plan = replace(plan, faults=tuple(map(EventKind, kinds)))
     if trace is not None:
         return click.echo("\n".join(trace_seed(plan, trace, broken)))
     summary = run_campaign(plan, seeds, jobs, broken)
--- a/foxspread/mesh/simulation/fleet.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -12,9 +12,10 @@
 from foxspread.mesh.simulation.clients import Clients
 from foxspread.mesh.simulation.events import Event, EventKind
 from foxspread.mesh.simulation.faults import Faults
-from foxspread.mesh.simulation.invariants import ANSWER_LIMIT_S, Call, InvariantChecker, Violation
+from foxspread.mesh.simulation.invariants import ANSWER_LIMIT_S, InvariantChecker
 from foxspread.mesh.simulation.machines import Cores, Machine, SimProcess, Sidecar
 from foxspread.mesh.simulation.network import Network
+from foxspread.mesh.simulation.observations import Call, Violation
 from foxspread.mesh.simulation.schedule import Plan, draw_schedule
 from foxspread.mesh.simulation.virtual_time import Simulation
 from foxspread.mesh.transport.messages import KIND, Fields
--- a/foxspread/mesh/simulation/schedule.py
+++ b/foxspread/mesh/simulation/schedule.py
@@ -95,7 +95,7 @@
     duration_s: float = 9.0  # calls and faults begin within this; then all recovers
     call_rounds: int = 9  # of two clients
     max_faults: int = 5
-    faults: tuple[str, ...] = FAULTS
+    faults: tuple[EventKind, ...] = FAULTS
     sequences: tuple[FaultSequence, ...] = ()  # of these each run plays two or three
     concurrent_calls: int = 0  # so many at once, at times
     delayed_copy_rate: float = 0.0  # share of the calls of which a machine reads a copy late
--- a/foxspread/mesh/simulation/virtual_time.py
+++ b/foxspread/mesh/simulation/virtual_time.py
@@ -19,7 +19,7 @@
         self.now = 0.0  # seconds since the start of the run
         self.random = Chance(seed)
         self.event_numbers = count()
-        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._events: list[tuple[float, int, Callable[[], object]]] = []
 
     def draw(self) -> float:
         """A number from 0 up to 1, the next that the seed gives."""
@@ -33,11 +33,11 @@
         """One of the list, each as likely as any other."""
         return choices[int(self.draw() * len(choices))]
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
+    def at(self, when: float, call: Callable[[], object]) -> None:
         """Schedule a call for a time in seconds; one that has passed means now."""
         heapq.heappush(self._events, (max(when, self.now), next(self.event_numbers), call))
 
-    def after(self, seconds: float, call: Callable[[], None]) -> None:
+    def after(self, seconds: float, call: Callable[[], object]) -> None:
         """Schedule a call for so many seconds from now."""
         self.at(self.now + seconds, call)
 
