--- a/tests/mesh/replication/test_storage.py
+++ b/tests/mesh/replication/test_storage.py
@@ -11,10 +11,10 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import COMPACTION, REFUSED, SERVICE, Item
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.learner import NONE, CommittedItem, pack_row, unpack_row
 from foxspread.mesh.replication.messages import Accept, Enroll
 from foxspread.mesh.replication.storage import FILE, Storage, is_older
-from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.stored_state import DeleteRows, PutRows, RecoveredState, SetMeta
 
 MEMBERS = ("a", "b", "c")
