--- a/foxspread/mesh/log.py
+++ b/foxspread/mesh/log.py
@@ -1,7 +1,7 @@
 """Structured logs: one line of key=value pairs for each event, to standard error (logfmt).
 
 A record of the logger `foxspread.mesh` has the event's name as its message and the pairs in `fields`;
-`KeyValueFormatter` makes the line of them. docs/operators/orchard.md lists the events.
+`KeyValueFormatter` makes the line of them. docs/operators/oncall-mesh.md lists the events.
 """
 
 import logging
--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -1,5 +1,5 @@
 """What a machine with storage promises and accepts: an acceptor of one register whose value is the whole set
-of items (docs/design/orchard.md has the argument). Pure: writes that a method returns have to be on disk
+of items (docs/design/mesh.md has the argument). Pure: writes that a method returns have to be on disk
 before the reply returned with them, or any later message, goes out; the caller keeps that order.
 
 The register's value at a proposal is the committed set and a delta over it. A proposal is committed once a
--- a/tests/docs/test_links.py
+++ b/tests/docs/test_links.py
@@ -20,6 +20,12 @@
     return [page for page in found if INCIDENTS not in page.parents]
 
 
+def sources() -> list[pathlib.Path]:
+    """Programs, tests and deploy files; this module names pages that are not there."""
+    modules = [path for folder in ("foxspread", "tests", "bench") for path in (ROOT / folder).rglob("*.py")]
+    return [*(path for path in modules if path != pathlib.Path(__file__)), *(ROOT / "deploy").glob("*.toml")]
+
+
 def broken_links(page: pathlib.Path) -> list[str]:
     """The links and paths of a page that lead nowhere, each once."""
     text = page.read_text()
@@ -37,10 +43,10 @@
         self.assertGreater(len(found), 30)
         self.assertEqual([], [fault for page in found for fault in broken_links(page)])
 
-    def test_deploy_files_name_what_is_there(self) -> None:
+    def test_sources_and_deploy_files_name_pages_that_are_there(self) -> None:
         faults = [
-            f"{path.name}: {name}"
-            for path in (ROOT / "deploy").glob("*.toml")
+            f"{path.relative_to(ROOT)}: {name}"
+            for path in sources()
             for name in DOCUMENT.findall(path.read_text())
             if not (ROOT / name).exists()
         ]
