--- a/tests/docs/test_links.py
+++ b/tests/docs/test_links.py
@@ -10,6 +10,8 @@
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 DOCUMENT = re.compile(r"(?<![\w/])docs/[\w/.-]+\.(?:md|json|txt)\b")  # from the root
 SIBLING = re.compile(r"`((?:[\w-]+/)?[\w-]+\.md)`")  # beside the page, or in one of PLACES
+SOURCE = re.compile(r"`((?:foxspread|bench|deploy|tests|scenarios)/[\w/.-]+)`")  # from the root
+WITH_FORMER_NAMES = ("CHANGELOG.md", "glossary.md")  # the glossary's terms have a test of their own
 PLACES = (ROOT, ROOT / "docs", ROOT / "docs/design", ROOT / "docs/operators")
 INCIDENTS = ROOT / "docs/incidents"  # written once; names are those of their day
 
@@ -34,9 +36,16 @@
     broken += [name for name in DOCUMENT.findall(text) if not (ROOT / name).exists()]
     places = (page.parent, *PLACES)
     broken += [name for name in SIBLING.findall(text) if not any((each / name).exists() for each in places)]
+    if page.name not in WITH_FORMER_NAMES:
+        broken += [name for name in SOURCE.findall(text) if not is_source(name)]
     return [f"{page.relative_to(ROOT)}: {name}" for name in dict.fromkeys(broken)]
 
 
+def is_source(name: str) -> bool:
+    """Whether there is such a file or folder, or such a module."""
+    return (ROOT / name).exists() or (ROOT / f"{name}.py").exists()
+
+
 class Links(testtools.TestCase):
     def test_pages_name_what_is_there(self) -> None:
         found = pages()
@@ -56,5 +65,7 @@
         folder = tempfile.TemporaryDirectory(dir=ROOT / "tests")  # inside the root, as all pages are
         self.addCleanup(folder.cleanup)
         page = pathlib.Path(folder.name) / "page.md"
-        page.write_text("[here](none.md), `docs/none.md`, `design/none-either.md`, [fine](page.md#part)")
-        self.assertEqual(3, len(broken_links(page)))
+        page.write_text(
+            "[here](none.md), `docs/none.md`, `design/none-either.md`, `bench/none`, [fine](page.md#part)"
+        )
+        self.assertEqual(4, len(broken_links(page)))
