--- a/foxspread/mesh/configuration/document.py
+++ b/foxspread/mesh/configuration/document.py
@@ -59,7 +59,7 @@
 
 def configuration_document(items: Iterable[Item]) -> dict[str, Any]:
     """All items in force that the operator set, in the form in which a call sets them."""
-    gates: dict[str, list] = {}
+    gates: dict[str, list[Content]] = {}
     services: list[Content] = []
     document: dict[str, Any] = {}
     for item in sorted(items, key=lambda each: each.key):
--- a/foxspread/mesh/control_api/handlers.py
+++ b/foxspread/mesh/control_api/handlers.py
@@ -33,7 +33,7 @@
     def __init__(self, clock: Callable[[], float], resources: dict[str, Resource]) -> None:
         super().__init__(clock, Limits(HEAD_BYTES, MAX_CALL_BYTES, HEAD_TIMEOUT_S, IDLE_TIMEOUT_S))
         self.resources = resources
-        self._tasks: set[asyncio.Task] = set()  # the loop itself holds tasks weakly
+        self._tasks: set[asyncio.Task[None]] = set()  # the loop itself holds tasks weakly
 
     def take(self, exchange: Exchange) -> None:
         """Begins to answer one request."""
--- a/foxspread/mesh/errors.py
+++ b/foxspread/mesh/errors.py
@@ -64,7 +64,13 @@
     status: int = 503
 
 
-_KIND_OF_STATUS = {kind.status: kind for kind in (InvalidRequest, Conflict, InstanceEnded, OutcomeUnknown)}
+# Not from the classes' `status`: with slots that is a descriptor, not the default.
+_KIND_OF_STATUS: dict[int, type[Failure]] = {
+    400: InvalidRequest,
+    409: Conflict,
+    410: InstanceEnded,
+    503: OutcomeUnknown,
+}
 
 
 def failure_of_status(status: int, reason: str) -> Failure:
--- a/foxspread/mesh/gossip/partial_view.py
+++ b/foxspread/mesh/gossip/partial_view.py
@@ -77,7 +77,7 @@
 
     def _sample(self, candidates: list[Neighbour], count: int) -> list[Neighbour]:
         candidates.sort(key=lambda each: each.node)
-        chosen = []
+        chosen: list[Neighbour] = []
         while candidates and len(chosen) < count:
             chosen.append(candidates.pop(int(self.draw() * len(candidates))))
         return chosen
--- a/foxspread/mesh/registry/own_record.py
+++ b/foxspread/mesh/registry/own_record.py
@@ -7,6 +7,8 @@
 Without I/O.
 """
 
+from typing import Any
+
 from foxspread.mesh.registry.endpoint_records import UP, EndpointRecord
 from foxspread.mesh.registry.incarnations import unpack_instance
 from foxspread.mesh.settings import Address
@@ -25,7 +27,7 @@
         """Of the record that was published last."""
         return self.incarnation, self.number
 
-    def next(self, zone: str, instances: list[list]) -> EndpointRecord:
+    def next(self, zone: str, instances: list[list[Any]]) -> EndpointRecord:
         """A new record, to be published; `instances`: packed rows of the servers beside this process."""
         self.number += 1
         servers = tuple(unpack_instance(each) for each in instances)
--- a/foxspread/mesh/replication/membership.py
+++ b/foxspread/mesh/replication/membership.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
+from typing import Any
 
 from foxspread.mesh.configuration.items import MEMBERS, Item
 
@@ -33,7 +34,9 @@
     return MemberSet(item.version, tuple(sorted(item.content["of"])))
 
 
-def membership_change(old: MemberSet, of: Iterable[str], disks: Mapping[str, list] | None = None) -> Item:
+def membership_change(
+    old: MemberSet, of: Iterable[str], disks: Mapping[str, list[Any]] | None = None
+) -> Item:
     """The item that proposes `of` as the next set; `disks`: their identities, as far as known."""
     return Item(MEMBERS, MEMBERS, old.epoch + 1, {"of": sorted(of), "disks": dict(disks or {})})
 
--- a/foxspread/mesh/settings.py
+++ b/foxspread/mesh/settings.py
@@ -193,7 +193,7 @@
     )
 
 
-def _parse_bounds(rows: list | str) -> dict[str, float] | InvalidSettings:
+def _parse_bounds(rows: list[str] | str) -> dict[str, float] | InvalidSettings:
     """The bounds of rows `name=value`, or of one text of them; the default where a name is left out."""
     bounds = dict(BOUNDS)
     for row in rows.split(",") if isinstance(rows, str) else rows:
