--- a/foxspread/mesh/replication/learner.py
+++ b/foxspread/mesh/replication/learner.py
@@ -182,17 +182,17 @@
             yield CommittedItem(self.items[key], self.changed_at[key])
 
     def chunk(
-        self, after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, bare: bool = False
+        self, after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, for_sidecars: bool = False
     ) -> SnapshotChunk:
-        """The rows after that offset, up to about `limit_bytes` of JSON; `bare`: only what processes
-        without storage hold."""
+        """The rows after that offset, up to about `limit_bytes` of JSON; `for_sidecars`: only what
+        processes without storage hold."""
         rows, size, more = [], 0, False
         for index in range(bisect_right(self.offsets, after), len(self.offsets)):
             proposal_number, key = self.offsets[index]
             if self.changed_at.get(key) != proposal_number:
                 continue
             item = self.items[key]
-            if bare:
+            if for_sidecars:
                 if not is_for_sidecars(item):
                     continue
                 item = item.without_history
