--- a/foxspread/mesh/replication/membership.py
+++ b/foxspread/mesh/replication/membership.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
 
 from foxspread.mesh.configuration.items import MEMBERS, Item
 
