--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -64,7 +64,7 @@
         self.clock = boot_clock
         self.incarnation = os.urandom(
             10
-        ).hex()  # random: no clock could make two start_history of a node differ
+        ).hex()  # random: two starts of a node never share one
         self.chance = Chance(int.from_bytes(os.urandom(4), "big"))
         self.event_log = EventLog(self.clock)
         self.member = (
