--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -1,7 +1,7 @@
 """Processes of the fleet in virtual time: machines with a disk, and sidecars without one.
 
 They run the cores of a node, `StateSync` and `ReplicaContact`, on a simulated disk and network; what is here
-is their life, and what the judge hears of it.
+is their life, and what the invariants are judged by.
 """
 
 from collections.abc import Callable
@@ -25,8 +25,9 @@
 from foxspread.mesh.replication.messages import ContactReply
 from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
-from foxspread.mesh.simulation.disks import SYNC_S, SimDisk
-from foxspread.mesh.simulation.invariants import shown
+from foxspread.mesh.simulation.simulated_storage import SYNC_S, SimulatedStorage
+from foxspread.mesh.simulation.events import format_item
+from foxspread.mesh.simulation.observations import FaultPeriod
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replica_contact import ReplicaContact
 from foxspread.mesh.state_sync import StateSync
@@ -47,17 +48,17 @@
 TICK_S = 0.1
 RECONNECT_S = 1.5  # connections open anew: whoever was missed hears all versions again
 CHUNK_LIMIT_BYTES = 600  # so small that a committed set comes in many chunks
-JUDGED_KINDS = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the judge looks at
+JUDGED_KINDS = OPERATOR_KINDS | {MEMBERS, LEASE}  # what the invariants are judged by
 
 
 @dataclass(frozen=True)
 class Cores:
-    """What is played: the cores as they are, or a broken one among them."""
+    """The classes that a run plays: those of a node, or a mutant among them."""
 
     acceptor: type[Acceptor] = Acceptor
     proposer: type[Proposer] = Proposer
     replica: type[Replica] = Replica
-    disk: type[SimDisk] = SimDisk
+    storage: type[SimulatedStorage] = SimulatedStorage
     quorum_contact: type[QuorumContact] = QuorumContact
     snapshot_transfer: type[SnapshotTransfer] = SnapshotTransfer
     readiness: type[Readiness] = Readiness
@@ -77,7 +78,7 @@
     """One process that holds the committed set. Its clock runs at `rate` from `offset`."""
 
     def __init__(self, fleet: "Fleet", name: str) -> None:
-        self.fleet, self.world, self.name = fleet, fleet.world, name
+        self.fleet, self.simulation, self.name = fleet, fleet.simulation, name
         self.incarnation, self.up, self.frozen = 0, False, False
         self.rate, self.offset = 1.0, 0.0
         self.inbox: list[Callable[[], None]] = []
@@ -87,7 +88,7 @@
         return StateSync(
             self.clock,
             OwnRecord(self.name, None, 0),
-            self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.world.draw),
+            self.fleet.cores.snapshot_transfer(_in_small_chunks(Learner()), self.simulation.draw),
             self._send,
             lambda call: self.after(0.0, call),
             lambda peer: isinstance(self.fleet.processes[peer], Machine),
@@ -104,12 +105,12 @@
 
     @property
     def incarnation_name(self) -> str:
-        """How the judge names this incarnation."""
+        """How traces and violations name this incarnation."""
         return f"{self.name}.{self.incarnation}"
 
     def clock(self) -> float:
         """Seconds, on this process's own clock."""
-        return self.offset + self.rate * self.world.now
+        return self.offset + self.rate * self.simulation.now
 
     def execute(self, call: Callable[[], None]) -> None:
         """Now, or once it is thawed; never in a later incarnation."""
@@ -121,13 +122,15 @@
         try:
             call()
         except InvariantViolation as error:
-            self.fleet.judge.broken("no broken invariant", f"{self.name}: {error}")
+            self.fleet.checker.violated("no broken invariant", f"{self.name}: {error}")
             self.kill()
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
         """Has it executed in this incarnation, after so much virtual time."""
         incarnation = self.incarnation
-        self.world.after(seconds, lambda: self.execute(call) if incarnation == self.incarnation else None)
+        self.simulation.after(
+            seconds, lambda: self.execute(call) if incarnation == self.incarnation else None
+        )
 
     def thaw(self) -> None:
         """Does what came while it was frozen."""
@@ -141,15 +144,15 @@
         """As by SIGKILL: what it had not written is lost."""
         self.incarnation += 1
         self.up, self.frozen, self.inbox = False, False, []
-        self.fleet.links.lives[self.name] = self.incarnation
+        self.fleet.network.incarnations[self.name] = self.incarnation
 
     def start(self) -> None:
         """A new incarnation, which knows nothing."""
         self.up = True
         self.sync = self._new_sync()
-        self.fleet.judge.started(self.incarnation_name)
+        self.fleet.checker.copy_started(self.incarnation_name)
         self.after(0.0, self._connect)
-        self.after(self.world.draw() * TICK_S, self._tick)
+        self.after(self.simulation.draw() * TICK_S, self._tick)
 
     def _tick(self) -> None:
         self.sync.flush()
@@ -176,16 +179,17 @@
             self.sync.handlers[message[KIND]](sender, message)
 
     def _report_committed(self, new: list[Item]) -> None:
-        self.fleet.judge.now = self.world.now
+        self.fleet.checker.now = self.simulation.now
         if new := [item.without_history for item in new if item.kind in JUDGED_KINDS]:
-            self.fleet.say(
-                f"{self.name} shows {' '.join(map(shown, new))}, upto {self.learner.committed_number[0]}"
+            self.fleet.log(
+                f"{self.name} shows {' '.join(map(format_item, new))}, "
+                f"upto {self.learner.committed_number[0]}"
             )
-            self.fleet.judge.shows(self.incarnation_name, new)
+            self.fleet.checker.observe_items(self.incarnation_name, new)
 
     def _send(self, to: str, message: Fields) -> None:
         if not _is_empty(message):
-            self.fleet.links.send(self.name, to, message)
+            self.fleet.network.send(self.name, to, message)
 
 
 def _is_empty(message: Fields) -> bool:
@@ -197,6 +201,8 @@
 
 
 def _in_small_chunks(learner: Learner) -> Learner:
+    """The learner, whose snapshots come in chunks so small that they can be interrupted."""
+
     def chunk(after: Offset = START, limit_bytes: int = CHUNK_LIMIT_BYTES, **options: bool) -> SnapshotChunk:
         return Learner.chunk(learner, after, limit_bytes, **options)
 
@@ -214,43 +220,43 @@
 
     def _tick(self) -> None:
         if self.sync.readiness.should_request_basis(self.clock(), False):
-            to = self.world.pick(self.fleet.machines).name
+            to = self.simulation.choose(self.fleet.machines).name
             self._send(to, self.sync.basis_pull(self.clock()))
         super()._tick()
 
     def _report_committed(self, new: list[Item]) -> None:
         super()._report_committed(new)
-        self.fleet.judge.tells(self.incarnation_name, "shows the set", self.learner.items)
+        self.fleet.checker.check_freshness(self.incarnation_name, "shows the set", self.learner.items)
 
     def receive(self, sender: str, message: Fields) -> None:
-        """A message that the network delivers; the judge hears when it makes this process ready."""
+        """A message that the network delivers; a process that it makes ready must not be stale."""
         super().receive(sender, message)
         if not self.was_ready and self.sync.readiness.is_ready(self.sync.has_items):
             self.was_ready = True
-            self.fleet.judge.tells(self.incarnation_name, "is ready", self.learner.items)
+            self.fleet.checker.check_freshness(self.incarnation_name, "is ready", self.learner.items)
 
 
 class Machine(SimProcess):
-    """A machine with a disk. A spare is there, but not started until one is gone."""
+    """A machine with storage. A spare is not started until another is lost for good."""
 
     def __init__(self, fleet: "Fleet", name: str, spare: bool = False) -> None:
         super().__init__(fleet, name)
-        self.disk = fleet.cores.disk(fleet.world, name)
+        self.storage = fleet.cores.storage(fleet.simulation, name)
         self.replica: Replica | None = None
-        self.partitions = 0  # faults that cut it off, now
-        self.slow_start = 0.0  # it is away for so much longer, the next time
-        self.wiped: list | None = None  # the trouble that is over once it has caught up
+        self.partitions = 0  # faults that isolate it now
+        self.extra_downtime_s = 0.0  # it is away for so much longer, the next time
+        self.catch_up_period: FaultPeriod | None = None  # from its wipe until it votes again
         self.spare = spare
-        self.counts_from: float | None = None  # gone for good: from then on its successor counts
+        self.replaced_at: float | None = None  # lost for good: from then on its successor counts
         self.returning_until = 0.0  # till then it counts as lost
         self.leaving = False
 
     @property
     def is_lost(self) -> bool:
         """Whether it counts among the machines that are lost at once."""
-        if self.spare or (self.counts_from is not None and self.world.now >= self.counts_from):
+        if self.spare or (self.replaced_at is not None and self.simulation.now >= self.replaced_at):
             return False
-        return not self.is_healthy or self.leaving or self.world.now < self.returning_until
+        return not self.is_healthy or self.leaving or self.simulation.now < self.returning_until
 
     @property
     def is_healthy(self) -> bool:
@@ -259,20 +265,20 @@
             self.up
             and not self.frozen
             and self.partitions == 0
-            and not self.disk.stalled
-            and not self.disk.refuses
-            and self.disk.sync_s <= SYNC_S
+            and not self.storage.stalled
+            and not self.storage.failing
+            and self.storage.sync_s <= SYNC_S
             and self.replica.acceptor.voting
         )
 
     def start(self, first: bool = False) -> None:
         """A new incarnation on its disk; `first`: of the fleet's first start."""
         super().start()
-        fleet, world = self.fleet, self.world
-        saved = self.disk.open(fleet.seeds, first)
+        fleet, simulation = self.fleet, self.simulation
+        saved = self.storage.open(fleet.seeds, first)
         acceptor = fleet.cores.acceptor(self.name, saved)
-        self.sync.learner = _in_small_chunks(acceptor.learner)
-        draw = Chance(int(world.draw() * 2**32)).draw
+        self.sync.use_learner(_in_small_chunks(acceptor.learner))
+        draw = Chance(int(simulation.draw() * 2**32)).draw
         self.replica = fleet.cores.replica(
             self.clock,
             self.incarnation_name,
@@ -300,21 +306,23 @@
         """As by SIGKILL: what the disk had not synced is lost."""
         super().kill()
         self.leaving = False
-        self.disk.power_lost()
+        self.storage.lose_power()
 
-    def _write(self, writes: list, then: Callable[[], None]) -> None:
+    def _write(self, writes: list, on_synced: Callable[[], None]) -> None:
         incarnation = self.incarnation
-        self.disk.write(writes, lambda: self.execute(then) if incarnation == self.incarnation else None)
+        self.storage.write(
+            writes, lambda: self.execute(on_synced) if incarnation == self.incarnation else None
+        )
 
     def _deliver_to_self(self, call: Callable[..., None], *arguments: Any) -> None:
         self.after(0.0, lambda: call(*arguments))
 
     def _tick(self) -> None:
         self.replica.tick()
-        if self.wiped is not None and self.replica.acceptor.voting:
-            self.fleet.say(f"{self.name} has caught up")
-            self.fleet.judge.over(self.wiped)
-            self.wiped = None
+        if self.catch_up_period is not None and self.replica.acceptor.voting:
+            self.fleet.log(f"{self.name} has caught up")
+            self.fleet.checker.fault_ended(self.catch_up_period)
+            self.catch_up_period = None
         now = self.clock()
         if (request := self.contact.request(now)) is not None:
             for each in self.fleet.machines:
@@ -322,9 +330,9 @@
                     self._send(each.name, request.packed())
         self._announce_contact()
         if self.ready:
-            self.fleet.judge.tells(self.incarnation_name, "is ready", self.learner.items)
+            self.fleet.checker.check_freshness(self.incarnation_name, "is ready", self.learner.items)
         if self.fleet.plan.members_change:
-            self._replace(now)
+            self._reconfigure(now)
         super()._tick()
 
     # Contact with a quorum.
@@ -338,7 +346,7 @@
         if self.contact.take_change():
             self.sync.announce_committed_set()
 
-    def _replace(self, now: float) -> None:
+    def _reconfigure(self, now: float) -> None:
         view = self.contact.cluster_view()
         if self.leaving and self.contact.reconfiguration.may_leave(now, view):
             return self.fleet.faults.has_left(self)
@@ -346,7 +354,7 @@
             return
 
         def on_outcome(outcome: bool | Failure) -> None:
-            self.fleet.judge.acted(self.incarnation_name, items, outcome)
+            self.fleet.checker.lease_used(self.incarnation_name, items, outcome)
             self.contact.reconfiguration.on_outcome(self.clock(), outcome)
 
         self.replica.call(items, on_outcome)
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -6,44 +6,49 @@
 
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.messages import Accept, Enroll, Prepare
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.stored_state import RecoveredState
-from foxspread.mesh.simulation.explore import Case, Table, explore, read_from
-from foxspread.mesh.simulation.fleet import Cores
-from foxspread.mesh.simulation.mutants import CORES
+from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.mutants import MUTANTS
+from foxspread.mesh.simulation.explorer import explore
+from foxspread.mesh.simulation.cluster_state import Case, ClusterState
+from foxspread.mesh.simulation.state_invariants import read_from
+from foxspread.mesh.simulation.actions import Crash, Wipe
 from tests.mesh.replication.scripted_replicas import (
     FIVE,
     SCRIPTS,
     SCRIPTS_BY_MUTANT,
     THREE,
-    deliver_enrolment,
     deliver_reply,
-    new_table,
-    route,
-    send_accept,
     send_prepare,
-    service,
     start_attempt,
+    deliver_enrolment,
+    new_state,
+    send_accept,
+    route,
+    service,
     wipe_and_enrol,
 )
 
 V1, V2 = service(tag=1), service(tag=2)
 
 
-def propose(table: Table, name: str, others: str, above: int | None = None) -> tuple[Item, bool] | None:
+def propose(
+    state: ClusterState, name: str, others: str, above: int | None = None
+) -> tuple[Item, bool] | None:
     """Its next call, with all answers of `others`; its outcome where there is one."""
-    before = len(table.told)
-    start_attempt(table, name, above)
-    send_prepare(table, name, others)
-    if table.proposers[name].proposed_delta is not None:
-        send_accept(table, name, others)
-    return table.told[-1] if len(table.told) > before else None
+    before = len(state.answers)
+    start_attempt(state, name, above)
+    send_prepare(state, name, others)
+    if state.proposers[name].proposed_delta is not None:
+        send_accept(state, name, others)
+    return state.answers[-1] if len(state.answers) > before else None
 
 
-def submit(table: Table, name: str, item: Item) -> None:
-    proposer = table.proposers[name]
-    table.starts[name] = 9
+def submit(state: ClusterState, name: str, item: Item) -> None:
+    proposer = state.proposers[name]
+    state.attempts_left[name] = 9
     proposer.next_attempt_at = 1e9
     proposer.submit(0.0, item, [item], 1e9)
 
@@ -52,111 +57,111 @@
     def test_each_mutant_fails_in_the_script_that_shows_it(self) -> None:
         # The cores stand each; every broken one falls by its own: else an order tests nothing.
         for name, script in SCRIPTS.items():
-            self.assertEqual([], script(Cores()).faults, name)
+            self.assertEqual([], script(Cores()).violations, name)
         for mutant, names in SCRIPTS_BY_MUTANT.items():
             for prefix in names:
                 script = next(script for name, script in SCRIPTS.items() if name.startswith(prefix))
-                self.assertNotEqual([], script(CORES[mutant]).faults, (mutant, prefix))
+                self.assertNotEqual([], script(MUTANTS[mutant]).violations, (mutant, prefix))
 
     def test_all_message_orders_of_small_cases_are_safe(self) -> None:
         # Nothing is out of reach of a schedule: every order, of messages, crashes, wipes; states are counted
         # so that a case that shrinks by mistake is seen.
         one, two = (("a", V1),), (("a", V1), ("b", V2))
         cases = (
-            (Case(calls=one, starts=2), 100),
+            (Case(calls=one, attempts=2), 100),
             (Case(calls=one, crashes=1), 100),
             (Case(calls=one, wipes=1, may_wipe=("c",)), 500),
-            (Case(calls=two, news=True, members=("a", "b")), 50),
+            (Case(calls=two, gossip=True, members=("a", "b")), 50),
         )
         for case, min_states in cases:
             result = explore(case)
-            self.assertEqual((True, []), (result.ended, result.way + result.faults), case)
+            self.assertEqual((True, []), (result.complete, result.path + result.violations), case)
             self.assertGreater(result.states, min_states, case)
 
     def test_the_explorer_finds_mutants(self) -> None:
         for name in ("any ballot is accepted", "acknowledges after one acceptance"):
-            result = explore(Case(calls=(("a", V1), ("b", V2))), CORES[name], most=20_000)
-            self.assertNotEqual([], result.faults, name)
+            result = explore(Case(calls=(("a", V1), ("b", V2))), MUTANTS[name], state_limit=20_000)
+            self.assertNotEqual([], result.violations, name)
 
     def test_one_of_three_writers_of_one_version_succeeds(self) -> None:
         # Whoever comes first with whichever machine, one content is taken and two are refused.
         items = {name: service(tag=n) for n, name in enumerate(THREE)}
         for first, second, third in permutations(THREE):
-            table = new_table(THREE, *items.items())
-            start_attempt(table, first)
-            send_prepare(table, first, second)  # its own disk alone accepts
-            start_attempt(table, second, above=1)
-            send_prepare(table, second, third)
-            start_attempt(table, third, above=2)
+            state = new_state(THREE, *items.items())
+            start_attempt(state, first)
+            send_prepare(state, first, second)  # its own disk alone accepts
+            start_attempt(state, second, above=1)
+            send_prepare(state, second, third)
+            start_attempt(state, third, above=2)
             for above, name in enumerate((first, third, second), start=9):
-                propose(table, name, second if name != second else third, above)
-            self.assertEqual([], table.faults)
-            self.assertEqual([False, False, True], sorted(taken for _, taken in table.told))
+                propose(state, name, second if name != second else third, above)
+            self.assertEqual([], state.violations)
+            self.assertEqual([False, False, True], sorted(taken for _, taken in state.answers))
 
     def test_a_call_is_retried_elsewhere_after_its_proposer_dies(self) -> None:
         # After none, one, two, three acceptances; resent unchanged it is taken whatever came of it; another
         # content is refused where the first may have been settled, and only one of them ever holds.
         for accepted in ("", "b", "bc"):
             for item in (V1, V2):
-                table = new_table(THREE, ("a", V1))
-                start_attempt(table, "a")
-                send_prepare(table, "a", "bc")
-                send_accept(table, "a", accepted, with_replies=False)
-                table.do(("crash", "a"))
-                submit(table, "c", item)
-                outcome = propose(table, "c", "b")
+                state = new_state(THREE, ("a", V1))
+                start_attempt(state, "a")
+                send_prepare(state, "a", "bc")
+                send_accept(state, "a", accepted, with_replies=False)
+                state.do(Crash("a"))
+                submit(state, "c", item)
+                outcome = propose(state, "c", "b")
                 self.assertEqual((item, item is V1 or not accepted), outcome, (accepted, item))
-                self.assertEqual([], table.faults)
+                self.assertEqual([], state.violations)
 
     def test_a_promise_survives_power_loss_before_the_accept(self) -> None:
         # Promised and not accepted: the promise is kept, the call is not half there.
-        table = new_table(THREE, ("a", V1))
-        start_attempt(table, "a")
-        send_prepare(table, "a", "bc")
+        state = new_state(THREE, ("a", V1))
+        start_attempt(state, "a")
+        send_prepare(state, "a", "bc")
         for name in THREE:
-            table.do(("crash", name))
-        self.assertEqual([(1, "a.0")] * 3, [table.acceptors[name].promised for name in THREE])
-        submit(table, "b", V2)
-        self.assertEqual((V2, True), propose(table, "b", "c"))
+            state.do(Crash(name))
+        self.assertEqual([(1, "a.0")] * 3, [state.acceptors[name].promised for name in THREE])
+        submit(state, "b", V2)
+        self.assertEqual((V2, True), propose(state, "b", "c"))
 
     def test_restarts_in_any_order_with_one_empty_disk_lose_nothing(self) -> None:
         # An acknowledged call is known to any two that vote, whichever disk was wiped,
         # the proposer's as well.
         for wiped in THREE:
             for others in permutations(name for name in THREE if name != wiped):
-                table = new_table(THREE, ("a", V1))
-                self.assertEqual((V1, True), propose(table, "a", "c"))
+                state = new_state(THREE, ("a", V1))
+                self.assertEqual((V1, True), propose(state, "a", "c"))
                 for name in others:
-                    table.do(("crash", name))
-                table.do(("wipe", wiped))
-                deliver_enrolment(table, wiped, others[0])
-                self.assertFalse(table.acceptors[wiped].serves)
-                deliver_enrolment(table, wiped, others[1])
-                self.assertEqual({V1.key: V1}, read_from([table.acceptors[wiped], table.acceptors["b"]]))
-                self.assertEqual([], table.faults)
+                    state.do(Crash(name))
+                state.do(Wipe(wiped))
+                deliver_enrolment(state, wiped, others[0])
+                self.assertFalse(state.acceptors[wiped].serves)
+                deliver_enrolment(state, wiped, others[1])
+                self.assertEqual({V1.key: V1}, read_from([state.acceptors[wiped], state.acceptors["b"]]))
+                self.assertEqual([], state.violations)
 
     def test_a_wiped_acceptor_honours_its_lost_promise(self) -> None:
         # Promised to 9, wiped, asked with 7: the promise that it can't remember is told by who made it too.
-        table = new_table(THREE, ("a", V1), ("b", V2))
-        start_attempt(table, "a", above=8)
-        send_prepare(table, "a", "c")
-        wipe_and_enrol(table, "c", "ab")
-        start_attempt(table, "b", above=6)
-        send_prepare(table, "b", "c")
-        self.assertEqual((None, 9), (table.proposers["b"].proposal_number, table.acceptors["c"].promised[0]))
+        state = new_state(THREE, ("a", V1), ("b", V2))
+        start_attempt(state, "a", above=8)
+        send_prepare(state, "a", "c")
+        wipe_and_enrol(state, "c", "ab")
+        start_attempt(state, "b", above=6)
+        send_prepare(state, "b", "c")
+        self.assertEqual((None, 9), (state.proposers["b"].proposal_number, state.acceptors["c"].promised[0]))
 
     def test_a_late_enrolment_of_an_older_disk_does_not_exclude_the_newer(self) -> None:
         # Guards against a machine that is wiped twice and is never heard again by one it asked meanwhile.
-        table = new_table(FIVE, ("a", V1))
-        wipe_and_enrol(table, "x", "bcd")
-        table.do(("wipe", "x"))
+        state = new_state(FIVE, ("a", V1))
+        wipe_and_enrol(state, "x", "bcd")
+        state.do(Wipe("x"))
         for other in "abd":
-            table.passed("x", other, "enrol", newest=True)
-        table.passed("x", "a", "enrol")  # of the disk before
+            state.deliver_kind("x", other, "enrol", newest=True)
+        state.deliver_kind("x", "a", "enrol")  # of the disk before
         for other in "abd":
-            table.passed(other, "x", "enrolled", newest=other != "a")
-        self.assertTrue(table.acceptors["x"].voting)
-        self.assertEqual((V1, True), propose(table, "a", "xc"))
+            state.deliver_kind(other, "x", "enrolled", newest=other != "a")
+        self.assertTrue(state.acceptors["x"].voting)
+        self.assertEqual((V1, True), propose(state, "a", "xc"))
 
     def test_a_new_identity_is_above_all_recorded_ones(self) -> None:
         # Chance alone says nothing of which of two disks is the newer one.
@@ -175,17 +180,17 @@
 
     def test_an_acceptor_that_is_behind_gets_the_missing_rows(self) -> None:
         # A proposer that does not know how far another is asks, and what it sends then is shown there.
-        table = new_table(THREE, ("a", V1), ("b", service("w")))
-        propose(table, "a", "b")
-        propose(table, "b", "a")
-        submit(table, "b", service("u"))
-        start_attempt(table, "b")
-        send_prepare(table, "b", "a")
-        table.passed("b", "c", "accept", newest=True)
-        deliver_reply(table, "c", "b")  # behind
-        send_accept(table, "b", "c")
-        self.assertEqual(table.acceptors["b"].learner.items, read_from([table.acceptors["c"]]))
-        self.assertEqual(3, len(table.acceptors["c"].learner.items) + len(table.acceptors["c"].delta))
+        state = new_state(THREE, ("a", V1), ("b", service("w")))
+        propose(state, "a", "b")
+        propose(state, "b", "a")
+        submit(state, "b", service("u"))
+        start_attempt(state, "b")
+        send_prepare(state, "b", "a")
+        state.deliver_kind("b", "c", "accept", newest=True)
+        deliver_reply(state, "c", "b")  # behind
+        send_accept(state, "b", "c")
+        self.assertEqual(state.acceptors["b"].learner.items, read_from([state.acceptors["c"]]))
+        self.assertEqual(3, len(state.acceptors["c"].learner.items) + len(state.acceptors["c"].delta))
 
 
 class Outcomes(TestCase):
@@ -210,11 +215,11 @@
             ("a route to nothing", [], here, 400),
         )
         for name, before, item, status in rows:
-            table = new_table(THREE)
+            state = new_state(THREE)
             for each in before:
-                submit(table, "a", each)
-                self.assertEqual((each, True), propose(table, "a", "b"), name)
-            completed, acceptors, proposer = [], table.acceptors, table.proposers["c"]
+                submit(state, "a", each)
+                self.assertEqual((each, True), propose(state, "a", "b"), name)
+            completed, acceptors, proposer = [], state.acceptors, state.proposers["c"]
             proposer.highest_seen = 50
             waiting = [("c", *each) for each in proposer.submit(0.0, "call", [item], 1e9).sends]
             while waiting:
