--- a/foxspread/mesh/simulation/campaign.py
+++ b/foxspread/mesh/simulation/campaign.py
@@ -9,7 +9,7 @@
 
 from foxspread.mesh.simulation.events import Event
 from foxspread.mesh.simulation.fleet import minimise, play
-from foxspread.mesh.simulation.invariants import Violation
+from foxspread.mesh.simulation.observations import Violation
 from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.mutants import MUTANTS
 from foxspread.mesh.simulation.schedule import Plan, draw_schedule
@@ -39,8 +39,8 @@
     calls: int = 0
     acknowledged: int = 0
     messages: int = 0
-    fault_counts: Counter = field(default_factory=Counter)
-    violation_counts: Counter = field(default_factory=Counter)  # seeds by rule
+    fault_counts: Counter[str] = field(default_factory=Counter)
+    violation_counts: Counter[str] = field(default_factory=Counter)  # seeds by rule
     violations: list[tuple[int, Violation]] = field(default_factory=list)  # with their seeds
 
     def add(self, result: SeedResult) -> None:
--- a/foxspread/mesh/simulation/clients.py
+++ b/foxspread/mesh/simulation/clients.py
@@ -6,8 +6,9 @@
 
 from foxspread.mesh.configuration.items import Item, Key
 from foxspread.mesh.errors import Failure, OutcomeUnknown
-from foxspread.mesh.simulation.invariants import RECOVERY_LIMIT_S, Call
+from foxspread.mesh.simulation.invariants import RECOVERY_LIMIT_S
 from foxspread.mesh.simulation.machines import Machine
+from foxspread.mesh.simulation.observations import Call
 
 if TYPE_CHECKING:
     from foxspread.mesh.simulation.fleet import Fleet
