--- a/foxspread/mesh/cli.py
+++ b/foxspread/mesh/cli.py
@@ -15,6 +15,7 @@
 
 if TYPE_CHECKING:
     from foxspread.mesh.hollow.experiment import Shape, Size
+    from foxspread.mesh.local_cluster.smoke_test import Figures
 
 MAX_HOLLOW_SIDECARS = 3000  # more do not fit one machine
 ALIASES = {"try": "smoke-test", "sim": "simulate", "weigh": "sizing"}  # former names
@@ -102,20 +103,23 @@
     """
     import uvloop
 
-    from foxspread.mesh.local_cluster.layout import LayoutError, read
-    from foxspread.mesh.local_cluster.smoke_test import Figures, SmokeTest
-
-    async def run() -> Figures:
-        return await SmokeTest(read(folder), click.echo).run(requests)  # it needs the running loop
+    from foxspread.mesh.local_cluster.layout import LayoutError
 
     try:
-        figures = uvloop.run(run())
+        figures = uvloop.run(_smoke_test(folder, requests))
     except LayoutError as error:
         raise click.ClickException(str(error)) from None
     click.echo("\n".join(figures.lines()))
     sys.exit(0 if figures.good else 1)
 
 
+async def _smoke_test(folder: str, requests: int) -> "Figures":
+    from foxspread.mesh.local_cluster.layout import read
+    from foxspread.mesh.local_cluster.smoke_test import SmokeTest
+
+    return await SmokeTest(read(folder), click.echo).run(requests)  # made in the loop that it runs in
+
+
 def _seeds(context: click.Context, option: click.Option, text: str) -> range:
     try:
         first, _, last = text.partition("-")
@@ -157,6 +161,7 @@
     from dataclasses import replace
 
     from foxspread.mesh.simulation.campaign import run_campaign, trace_seed
+    from foxspread.mesh.simulation.events import EventKind
     from foxspread.mesh.simulation.mutants import MUTANTS
     from foxspread.mesh.simulation.schedule import named_plans
 
@@ -166,7 +171,7 @@
         raise click.BadParameter(f"{', '.join(unknown)}: of {', '.join(plan.faults)}", param_hint="--faults")
     if broken and broken not in MUTANTS:
         raise click.BadParameter(f"{broken}: one of {', '.join(MUTANTS)}", param_hint="--broken")
-    plan = replace(plan, faults=kinds)
+    plan = replace(plan, faults=tuple(map(EventKind, kinds)))
     if trace is not None:
         return click.echo("\n".join(trace_seed(plan, trace, broken)))
     summary = run_campaign(plan, seeds, jobs, broken)
--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -75,7 +75,8 @@
 
 
 class _NamesDisks(Protocol):
-    disks: dict[str, DiskIdentity]
+    @property
+    def disks(self) -> dict[str, DiskIdentity]: ...
 
 
 Reply = TypeVar("Reply", bound=_NamesDisks)
--- a/foxspread/mesh/replication/membership.py
+++ b/foxspread/mesh/replication/membership.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
 
 from foxspread.mesh.configuration.items import MEMBERS, Item
 
@@ -35,7 +34,7 @@
 
 
 def membership_change(
-    old: MemberSet, of: Iterable[str], disks: Mapping[str, list[Any]] | None = None
+    old: MemberSet, of: Iterable[str], disks: Mapping[str, list[int | str]] | None = None
 ) -> Item:
     """The item that proposes `of` as the next set; `disks`: their identities, as far as known."""
     return Item(MEMBERS, MEMBERS, old.epoch + 1, {"of": sorted(of), "disks": dict(disks or {})})
--- a/foxspread/mesh/simulation/fault_control.py
+++ b/foxspread/mesh/simulation/fault_control.py
@@ -25,7 +25,7 @@
         lost = {*(each for each in self.fleet.machines if each.is_lost), *more}
         return len(lost) <= self.fleet.plan.tolerate
 
-    def schedule_end(self, seconds: float, machine: Machine | None, end: Callable[[], None]) -> None:
+    def schedule_end(self, seconds: float, machine: Machine | None, end: Callable[[], object]) -> None:
         """Call `end` after so long, or when all faults end. Till then the machine, or all where it is None,
         need not answer in time."""
         period = self.checker.fault_began(machine.name if machine else None)
--- a/foxspread/mesh/simulation/invariants.py
+++ b/foxspread/mesh/simulation/invariants.py
@@ -140,12 +140,12 @@
             return
         submission = self._submissions.setdefault(frozenset(map(_content_of, items)), Submission(items))
         where = f"{by} at {self.now:.3f}"
-        if outcome is True:
+        if isinstance(outcome, Failure):
+            submission.refused.append(f"{where} ({outcome.reason})")
+        else:
             submission.acknowledged.append(where)
             for item in items:
                 self._observe_confirmed(item, by)
-        else:
-            submission.refused.append(f"{where} ({outcome.reason})")
         if submission.acknowledged and submission.refused:
             answers = f"taken by {submission.acknowledged[0]}, refused by {submission.refused[0]}"
             self.violated("one answer", f"{' '.join(map(format_item, items))}: {answers}")
@@ -227,8 +227,8 @@
             if submission.refused:
                 refused.update((_content_of(item), submission) for item in submission.items)
         for call in self.calls:
-            submission = self._submissions.get(frozenset(map(_content_of, call.items)))
-            if submission is None or not submission.refused:
+            answered = self._submissions.get(frozenset(map(_content_of, call.items)))
+            if answered is None or not answered.refused:
                 for item in call.items:
                     refused.pop(_content_of(item), None)
         for content, submission in refused.items():
