--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -62,9 +62,7 @@
     def __init__(self, settings: Settings, loop: asyncio.AbstractEventLoop) -> None:
         self.settings, self.loop = settings, loop
         self.clock = boot_clock
-        self.incarnation = os.urandom(
-            10
-        ).hex()  # random: two starts of a node never share one
+        self.incarnation = os.urandom(10).hex()  # random: two starts of a node never share one
         self.chance = Chance(int.from_bytes(os.urandom(4), "big"))
         self.event_log = EventLog(self.clock)
         self.member = (
