--- a/bench/catching_up.py
+++ b/bench/catching_up.py
@@ -17,13 +17,13 @@
 import tracemalloc
 
 from foxspread.mesh.configuration.items import ROUTE, Item
-from foxspread.mesh.transport.netstrings import Decoder, encode
 from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.learner import Learner, pack_row, unpack_row
 from foxspread.mesh.replication.messages import Message, decode
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.replication.storage import Storage
 from foxspread.mesh.replication.stored_state import COMMITTED, PutRows, RecoveredState, SetMeta
+from foxspread.mesh.transport.netstrings import Decoder, encode
 
 CHANGES_A_SECOND = 3
 DELAY_S = 0.001
--- a/bench/lab_figures.py
+++ b/bench/lab_figures.py
@@ -14,7 +14,8 @@
 import sys
 
 from foxspread.lab import scenario
-from foxspread.lab.experiments import policies, report, runs as experiments
+from foxspread.lab.experiments import policies, report
+from foxspread.lab.experiments import runs as experiments
 
 TOP = pathlib.Path(__file__).resolve().parent.parent
 LEFT_OUT = ("trap", "size")  # for the judge, and for the cost
--- a/bench/mixed/activities.py
+++ b/bench/mixed/activities.py
@@ -9,10 +9,10 @@
 from contextlib import contextmanager
 from functools import partial
 
-from foxspread.mesh.local_cluster.supervisor import pid_of
+from foxspread.mesh.emulators.client import Answered, Client
 from foxspread.mesh.local_cluster.layout import CORE, SIDE
+from foxspread.mesh.local_cluster.supervisor import pid_of
 from foxspread.mesh.settings import Address
-from foxspread.mesh.emulators.client import Answered, Client
 from mixed.configuration import change_name, item_versions, lost_items
 from mixed.harness import POLL_S, Harness, ask
 from mixed.versions import RunError
--- a/bench/mixed/harness.py
+++ b/bench/mixed/harness.py
@@ -7,11 +7,11 @@
 from functools import partial
 
 from foxspread.mesh.dataplane.lanes import Lanes
-from foxspread.mesh.local_cluster.layout import SIDE, Layout
-from foxspread.mesh.settings import Address
 from foxspread.mesh.emulators.client import Answered, Client, Way
 from foxspread.mesh.emulators.event_record import EventRecord
 from foxspread.mesh.emulators.operator import Operator
+from foxspread.mesh.local_cluster.layout import SIDE, Layout
+from foxspread.mesh.settings import Address
 from mixed.configuration import (
     DEADLINE_S,
     HOST,
--- a/bench/mixed/judging.py
+++ b/bench/mixed/judging.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from foxspread.mesh.local_cluster.layout import SIDE, Layout
 from foxspread.mesh.emulators.client import Client
 from foxspread.mesh.emulators.event_record import rows
+from foxspread.mesh.local_cluster.layout import SIDE, Layout
 from mixed.activities import Load, Regressions
 from mixed.configuration import change_name, item_versions, lost_items
 from mixed.harness import Harness
--- a/bench/mixed/versions.py
+++ b/bench/mixed/versions.py
@@ -9,8 +9,8 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 
-from foxspread.mesh.local_cluster.supervisor import Supervisor, pid_of
 from foxspread.mesh.local_cluster.layout import CORE, SIDE, Layout
+from foxspread.mesh.local_cluster.supervisor import Supervisor, pid_of
 
 OLD, NEW = "old", "new"
 
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -17,15 +17,15 @@
 from collections.abc import Coroutine
 
 import uvloop
-
-from foxspread.lab.experiments import runs as experiments
-from foxspread.mesh.local_cluster.layout import SIDE, Layout, create_layout
 from mixed.activities import REQUESTS_PER_S, Kills, Load, Regressions
 from mixed.configuration import change, item_versions, lost_items
 from mixed.harness import Harness
 from mixed.judging import Result, judge_configuration, judge_load, judge_regressions, table
 from mixed.versions import NEW, OLD, Version, Versions, assign, mesh, misplaced, one_of_each, say
 
+from foxspread.lab.experiments import runs as experiments
+from foxspread.mesh.local_cluster.layout import SIDE, Layout, create_layout
+
 OLD_PROCESS_MODULE = "foxspread.orchard.process"
 NEW_PROCESS_MODULE = "foxspread.mesh.process"
 OLD_COMMIT = "d26c70f"
--- a/foxspread/lab/engines/sockets.py
+++ b/foxspread/lab/engines/sockets.py
@@ -22,16 +22,16 @@
 import uvloop
 
 from foxspread.lab.engines import setup
-from foxspread.lab.stand_ins import ends as stand_ins
-from foxspread.lab.world import demand
+from foxspread.lab.engines.timeline import Hands, Timeline
+from foxspread.lab.engines.virtual import Result
 from foxspread.lab.ledger import Ledger
-from foxspread.lab.world.network import Network
-from foxspread.lab.world.roster import Entry, Roster
 from foxspread.lab.scenario import Scenario, ScenarioError, SocketsError
+from foxspread.lab.stand_ins import ends as stand_ins
 from foxspread.lab.stand_ins.ends import Clients, Listener, ServerEnd, SourceTalk
-from foxspread.lab.engines.timeline import Hands, Timeline
-from foxspread.lab.engines.virtual import Result
+from foxspread.lab.world import demand
 from foxspread.lab.world.fleet import Fleet, Server
+from foxspread.lab.world.network import Network
+from foxspread.lab.world.roster import Entry, Roster
 
 MOST_INSTANCES, MOST_SERVERS = 64, 400  # processes, and descriptors of this one
 READY_WITHIN, END_WITHIN = 30.0, 8.0
--- a/foxspread/lab/engines/virtual.py
+++ b/foxspread/lab/engines/virtual.py
@@ -14,15 +14,15 @@
 from foxspread import config
 from foxspread.facade import Answer, CallOff, Facade, Outcome, Send, Step, Subscribe
 from foxspread.lab.engines import setup
+from foxspread.lab.engines.timeline import Hands, Timeline
+from foxspread.lab.ledger import Ledger
+from foxspread.lab.scenario import Scenario
 from foxspread.lab.world import demand
 from foxspread.lab.world.clock import Clock
 from foxspread.lab.world.demand import Want
-from foxspread.lab.ledger import Ledger
+from foxspread.lab.world.fleet import Fleet, Job, Server
 from foxspread.lab.world.network import Network
 from foxspread.lab.world.roster import Roster
-from foxspread.lab.scenario import Scenario
-from foxspread.lab.engines.timeline import Hands, Timeline
-from foxspread.lab.world.fleet import Fleet, Job, Server
 from foxspread.model import ListedServer
 
 EPOCH = 1_000_000.0  # what the instances' clocks show at the start of a run
--- a/foxspread/lab/processes/fleet_rules_mutants.py
+++ b/foxspread/lab/processes/fleet_rules_mutants.py
@@ -11,8 +11,8 @@
 from foxspread.consensus.raft import Role
 from foxspread.fleet_rules.codec import AloneState, LeaseGrant, LeaseRequest
 from foxspread.fleet_rules.flat_rules import FlatRules
-from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
 from foxspread.fleet_rules.leader_state import HolderStatus, LeaderState
+from foxspread.fleet_rules.lease_holder import EffectiveRules, LeaseHolder, Mode
 from foxspread.fleet_rules.lease_manager import LeaseManager
 from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
 from foxspread.fleet_rules.version_content import VersionContent
--- a/foxspread/lab/stand_ins/ends.py
+++ b/foxspread/lab/stand_ins/ends.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from foxspread.lab.world.demand import Want
 from foxspread.lab.ledger import Ledger
+from foxspread.lab.world.demand import Want
 from foxspread.lab.world.fleet import Job, Server
 from foxspread.net import http
 
--- a/foxspread/mesh/configuration/retention.py
+++ b/foxspread/mesh/configuration/retention.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Mapping
+
 from foxspread.mesh.configuration.items import (
     COLLECTED_AT,
     COMPACTION,
--- a/foxspread/mesh/dataplane/caller.py
+++ b/foxspread/mesh/dataplane/caller.py
@@ -5,16 +5,16 @@
 from collections import Counter
 from collections.abc import Callable
 
-from foxspread.model import Outcome
-from foxspread.net import http
+from foxspread.mesh.configuration.routes import RouteTable
 from foxspread.mesh.dataplane import heads
 from foxspread.mesh.dataplane.errand import Errand, Pass, Refuse, Send, Steering, Step
 from foxspread.mesh.dataplane.hop import FRESH_S, Handing, Hop
 from foxspread.mesh.dataplane.lanes import CONNECT_S, End, Lane, Lanes
 from foxspread.mesh.dataplane.lasthop import Terms
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
-from foxspread.mesh.configuration.routes import RouteTable
 from foxspread.mesh.log import log_event
+from foxspread.model import Outcome
+from foxspread.net import http
 
 CALLER_LINES_MOST = 1000  # connections of clients
 REFUSED_BY_SERVER = ("refused", "silent", "gone")  # why nothing was handed over: the server's own doing
--- a/foxspread/mesh/dataplane/errand.py
+++ b/foxspread/mesh/dataplane/errand.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from foxspread.model import HandOff, Outcome
-from foxspread.net.http import Message
-from foxspread.mesh.configuration.routes import Route
 from foxspread.mesh.budget.budget import Budget
+from foxspread.mesh.configuration.routes import Route
 from foxspread.mesh.health.health import Health
 from foxspread.mesh.health.upstreams import Upstream, Upstreams
+from foxspread.model import HandOff, Outcome
+from foxspread.net.http import Message
 from foxspread.sums import Chance
 
 MARGIN_S = 0.012  # before the client gives up: its answer is on the way by then
--- a/foxspread/mesh/dataplane/heads.py
+++ b/foxspread/mesh/dataplane/heads.py
@@ -1,7 +1,7 @@
 """Heads as they go on: what concerns one connection stays behind, what the system says is set."""
 
-from foxspread.net import http
 from foxspread.mesh.dataplane.lasthop import Terms
+from foxspread.net import http
 
 # Never passed on: of one connection (RFC 9110, 7.6.1), or written by the system itself.
 OWN = frozenset(
--- a/foxspread/mesh/dataplane/hop.py
+++ b/foxspread/mesh/dataplane/hop.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Callable
 
-from foxspread.net import http
 from foxspread.mesh.dataplane import heads
 from foxspread.mesh.dataplane.lanes import End, Lane, Lanes
 from foxspread.mesh.dataplane.lasthop import LastHop, Terms
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits
 from foxspread.mesh.errors import Failure
+from foxspread.net import http
 
 FRESH_S = 2.0  # idle for longer, a connection is not used for what must not be lost
 HOP_LINES_MOST = 1000  # connections of other sidecars
--- a/foxspread/mesh/dataplane/lanes.py
+++ b/foxspread/mesh/dataplane/lanes.py
@@ -12,10 +12,10 @@
 
 import httptools
 
-from foxspread.net import http
 from foxspread.mesh.dataplane import heads
 from foxspread.mesh.dataplane.memory import Share
 from foxspread.mesh.settings import Address
+from foxspread.net import http
 
 CONNECT_S = 0.5
 STRAYS_MOST = 2  # surplus answers of a server passed over while the one that is due is waited for
--- a/foxspread/mesh/dataplane/serving.py
+++ b/foxspread/mesh/dataplane/serving.py
@@ -7,8 +7,8 @@
 from collections import Counter, deque
 from collections.abc import Callable, Sequence
 
-from foxspread.net import http
 from foxspread.mesh.dataplane.memory import Share
+from foxspread.net import http
 
 WAITING_MOST = 32  # requests of one connection that are read and not answered
 BUFFERED_MOST = 256 * 1024  # bytes of answers that wait to be taken, from which on nothing more is read
--- a/foxspread/mesh/emulators/client.py
+++ b/foxspread/mesh/emulators/client.py
@@ -8,11 +8,11 @@
 import zlib
 from dataclasses import dataclass, field
 
-from foxspread.net import http
 from foxspread.mesh.dataplane.lanes import Lanes
-from foxspread.mesh.settings import Address, format_address
-from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
 from foxspread.mesh.emulators.event_record import EventRecord
+from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
+from foxspread.mesh.settings import Address, format_address
+from foxspread.net import http
 
 PROMISES = (408, 421, 429, 503)  # it has not run and never will
 FINAL = (400, 401, 404, 413, 431)
--- a/foxspread/mesh/emulators/http_call.py
+++ b/foxspread/mesh/emulators/http_call.py
@@ -4,9 +4,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxspread.net import http
 from foxspread.mesh.dataplane.lanes import End, Lane, Lanes
 from foxspread.mesh.settings import Address
+from foxspread.net import http
 
 CONNECT_S = 1.0  # for a new connection to come up
 
--- a/foxspread/mesh/emulators/operator.py
+++ b/foxspread/mesh/emulators/operator.py
@@ -8,9 +8,9 @@
 import orjson
 
 from foxspread.mesh.dataplane.lanes import Lanes
-from foxspread.mesh.settings import Address, parse_address, format_address
-from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
 from foxspread.mesh.emulators.event_record import EventRecord
+from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
+from foxspread.mesh.settings import Address, format_address, parse_address
 
 PATIENCE_S = 1.0  # of silence, after which it goes on to the next address
 PAUSE_S, PAUSE_MOST_S = 0.05, 1.0  # between askings, doubling
--- a/foxspread/mesh/emulators/server.py
+++ b/foxspread/mesh/emulators/server.py
@@ -26,10 +26,10 @@
 
 from foxspread.mesh.dataplane.lanes import Lanes
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits, Serving
-from foxspread.mesh.registry.incarnations import DRAINING, READY
-from foxspread.mesh.settings import Address, parse_address, format_address
-from foxspread.mesh.emulators.http_call import asked, encode_request
 from foxspread.mesh.emulators.event_record import EventRecord
+from foxspread.mesh.emulators.http_call import asked, encode_request
+from foxspread.mesh.registry.incarnations import DRAINING, READY
+from foxspread.mesh.settings import Address, format_address, parse_address
 from foxspread.sums import Chance
 
 FAULTS = ("lose_answer", "cut_answer", "garble", "extra_answer", "slow", "hang", "crash")
--- a/foxspread/mesh/health/health.py
+++ b/foxspread/mesh/health/health.py
@@ -10,8 +10,8 @@
 from foxspread.decisions.marks import Marks
 from foxspread.decisions.measures import Measures
 from foxspread.decisions.rotation import Rotation
-from foxspread.model import Category, HandOff, ListedServer, Outcome
 from foxspread.mesh.health.upstreams import Service, Upstream
+from foxspread.model import Category, HandOff, ListedServer, Outcome
 from foxspread.sums import Chance, Mean
 
 KEENNESS = 5.0  # power of a server's pace, by the best of its zone, that is its part of a turn
--- a/foxspread/mesh/hollow/experiment.py
+++ b/foxspread/mesh/hollow/experiment.py
@@ -15,23 +15,23 @@
 import orjson
 
 from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.emulators.operator import Operator
 from foxspread.mesh.hollow.sidecar import BERTHS
 from foxspread.mesh.hollow.slopes import share, shown, table
-from foxspread.mesh.local_cluster.supervisor import Child, free
 from foxspread.mesh.local_cluster.layout import (
     APP,
     BOUNDS,
     CORE,
     INNER,
     PORTS,
-    Machine,
     Layout,
     LayoutError,
+    Machine,
     settings,
     written,
 )
+from foxspread.mesh.local_cluster.supervisor import Child, free
 from foxspread.mesh.settings import FILE_VARIABLE
-from foxspread.mesh.emulators.operator import Operator
 
 HOST = "orchard.example"
 STEP_S = 60.0  # for whatever is waited for
--- a/foxspread/mesh/hollow/sizing.py
+++ b/foxspread/mesh/hollow/sizing.py
@@ -11,13 +11,13 @@
 
 from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
 from foxspread.mesh.configuration.routes import RouteTable
+from foxspread.mesh.gossip.anti_entropy import AntiEntropy
 from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.hollow.process import resident
 from foxspread.mesh.hollow.slopes import shown
-from foxspread.mesh.gossip.anti_entropy import AntiEntropy
-from foxspread.mesh.transport.netstrings import Decoder, encode
 from foxspread.mesh.registry.endpoint_records import EndpointRecords, unpack_record
 from foxspread.mesh.replication.learner import Learner, pack_row, unpack_row
+from foxspread.mesh.transport.netstrings import Decoder, encode
 
 LIFE = 1_764_000_000_000  # milliseconds of the wall clock, as a record's version begins with
 BALLOT = (1000, f"{LIFE:x}0a1b2c")
--- a/foxspread/mesh/hollow/traffic_meter.py
+++ b/foxspread/mesh/hollow/traffic_meter.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from foxspread.mesh.transport.peer_connection import PeerConnection
 from foxspread.mesh.settings import Address
+from foxspread.mesh.transport.peer_connection import PeerConnection
 
 BEAT_MOST = 32  # bytes of a read in which a link hears nothing but beats
 
--- a/foxspread/mesh/local_cluster/smoke_test.py
+++ b/foxspread/mesh/local_cluster/smoke_test.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from foxspread.mesh.dataplane.lanes import Lanes
-from foxspread.mesh.local_cluster.supervisor import pid_of
-from foxspread.mesh.local_cluster.layout import CORE, SERVICES, SIDE, Layout, LayoutError
 from foxspread.mesh.emulators.client import Answered, Client, Way
 from foxspread.mesh.emulators.event_record import EventRecord, rows
 from foxspread.mesh.emulators.operator import Operator, Outcome
+from foxspread.mesh.local_cluster.layout import CORE, SERVICES, SIDE, Layout, LayoutError
+from foxspread.mesh.local_cluster.supervisor import pid_of
 
 HOST = "orchard.example"
 PRESS, CELLAR = SERVICES
--- a/foxspread/mesh/local_cluster/supervisor.py
+++ b/foxspread/mesh/local_cluster/supervisor.py
@@ -11,6 +11,8 @@
 
 import foxspread
 from foxspread.mesh.dataplane.lanes import Lanes
+from foxspread.mesh.emulators.event_record import rows
+from foxspread.mesh.emulators.http_call import asked, encode_request
 from foxspread.mesh.local_cluster.layout import (
     APP,
     CORE,
@@ -23,8 +25,6 @@
     write_settings,
 )
 from foxspread.mesh.settings import FILE_VARIABLE, Address, format_address
-from foxspread.mesh.emulators.http_call import asked, encode_request
-from foxspread.mesh.emulators.event_record import rows
 
 ROOT = pathlib.Path(foxspread.__file__).parents[1]
 AGAIN_S = 0.3  # after its end, until a process is started again
--- a/foxspread/mesh/simulation/acceptor_mutants.py
+++ b/foxspread/mesh/simulation/acceptor_mutants.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from foxspread.mesh.replication.acceptor import Acceptor, Learned, Response
-from foxspread.mesh.replication.learner import CommittedItem, NONE, ProposalNumber, Row
+from foxspread.mesh.replication.learner import NONE, CommittedItem, ProposalNumber, Row
 from foxspread.mesh.replication.membership import MemberSet
 from foxspread.mesh.replication.messages import Accept, Enrolled, Prepare
 from foxspread.mesh.replication.stored_state import ACCEPTED, RecoveredState, SetMeta, Write
--- a/foxspread/mesh/simulation/campaign.py
+++ b/foxspread/mesh/simulation/campaign.py
@@ -9,9 +9,9 @@
 
 from foxspread.mesh.simulation.events import Event
 from foxspread.mesh.simulation.fleet import minimise, play
-from foxspread.mesh.simulation.observations import Violation
 from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.mutants import MUTANTS
+from foxspread.mesh.simulation.observations import Violation
 from foxspread.mesh.simulation.schedule import Plan, draw_schedule
 
 SHOWN_VIOLATIONS_LIMIT = 20  # that a summary keeps with their texts
--- a/foxspread/mesh/simulation/fleet.py
+++ b/foxspread/mesh/simulation/fleet.py
@@ -13,7 +13,7 @@
 from foxspread.mesh.simulation.events import Event, EventKind
 from foxspread.mesh.simulation.faults import Faults
 from foxspread.mesh.simulation.invariants import ANSWER_LIMIT_S, InvariantChecker
-from foxspread.mesh.simulation.machines import Cores, Machine, SimProcess, Sidecar
+from foxspread.mesh.simulation.machines import Cores, Machine, Sidecar, SimProcess
 from foxspread.mesh.simulation.network import Network
 from foxspread.mesh.simulation.observations import Call, Violation
 from foxspread.mesh.simulation.schedule import Plan, draw_schedule
--- a/foxspread/mesh/simulation/machines.py
+++ b/foxspread/mesh/simulation/machines.py
@@ -10,26 +10,26 @@
 
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, OPERATOR_KINDS, Item, Key
 from foxspread.mesh.control_api.readiness import Readiness
-from foxspread.mesh.errors import InvariantViolation, Failure
-from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
-from foxspread.mesh.replication.quorum_contact import QuorumContact
+from foxspread.mesh.errors import Failure, InvariantViolation
+from foxspread.mesh.registry.own_record import OwnRecord
+from foxspread.mesh.replica_contact import ReplicaContact
+from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.learner import (
     START,
     Learner,
-    SnapshotChunk,
     Offset,
+    SnapshotChunk,
 )
-from foxspread.mesh.replication.acceptor import Acceptor
-from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
-from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S
 from foxspread.mesh.replication.messages import ContactReply
-from foxspread.mesh.replication.reconfiguration import Reconfiguration
 from foxspread.mesh.replication.proposer import Proposer
-from foxspread.mesh.simulation.simulated_storage import SYNC_S, SimulatedStorage
+from foxspread.mesh.replication.quorum_contact import QuorumContact
+from foxspread.mesh.replication.reconfiguration import Reconfiguration
+from foxspread.mesh.replication.replica import CALL_TIMEOUT_S, Replica
+from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
 from foxspread.mesh.simulation.events import format_item
 from foxspread.mesh.simulation.observations import FaultPeriod
-from foxspread.mesh.registry.own_record import OwnRecord
-from foxspread.mesh.replica_contact import ReplicaContact
+from foxspread.mesh.simulation.simulated_storage import SYNC_S, SimulatedStorage
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import (
     COMMITTED_NUMBER,
--- a/foxspread/mesh/simulation/proposer_mutants.py
+++ b/foxspread/mesh/simulation/proposer_mutants.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from foxspread.mesh.configuration.idempotency import apply_change
-from foxspread.mesh.configuration.items import Item, Key, LEASE, MEMBERS, REFUSED
+from foxspread.mesh.configuration.items import LEASE, MEMBERS, REFUSED, Item, Key
 from foxspread.mesh.errors import Failure
 from foxspread.mesh.replication.learner import NONE
 from foxspread.mesh.replication.membership import MemberSet
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -23,7 +23,7 @@
 from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
 from foxspread.mesh.replication.messages import SnapshotChunkRequest, SnapshotRows, decode
 from foxspread.mesh.replication.snapshot_transfer import ReceivedRows, SnapshotTransfer
-from foxspread.mesh.transport.messages import COMMITTED_SET, Fields, Have, PullResponse, Pull, VersionVector
+from foxspread.mesh.transport.messages import COMMITTED_SET, Fields, Have, Pull, PullResponse, VersionVector
 
 
 class LocalReplica(Protocol):
--- a/foxspread/mesh/transport/netstrings.py
+++ b/foxspread/mesh/transport/netstrings.py
@@ -8,6 +8,7 @@
 """
 
 import zlib
+
 import orjson
 
 from foxspread.mesh.errors import Failure
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -3,7 +3,8 @@
 import unittest
 
 from foxspread.lab import scenario
-from foxspread.lab.experiments import report, runs as experiments
+from foxspread.lab.experiments import report
+from foxspread.lab.experiments import runs as experiments
 from foxspread.lab.experiments.runs import ExperimentError
 from tests.lab.helpers import small
 
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -3,8 +3,8 @@
 import unittest
 
 from foxspread.lab import scenario
-from foxspread.lab.world import demand
 from foxspread.lab.scenario import ScenarioError
+from foxspread.lab.world import demand
 from tests.lab.helpers import plain, small
 
 
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -5,8 +5,8 @@
 from foxspread.lab import scenario
 from foxspread.lab.engines import sockets
 from foxspread.lab.experiments import runs as experiments
-from foxspread.lab.judge import rules
 from foxspread.lab.experiments.mutants import MUTANTS
+from foxspread.lab.judge import rules
 from foxspread.lab.scenario import ScenarioError, SocketsError
 from foxspread.lab.stand_ins.ends import Listener, Talk
 from tests.helpers import on_loop
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -5,7 +5,8 @@
 
 from foxspread.lab import scenario
 from foxspread.lab.engines import virtual
-from foxspread.lab.experiments import figures, policies, runs as experiments
+from foxspread.lab.experiments import figures, policies
+from foxspread.lab.experiments import runs as experiments
 from foxspread.lab.judge import rules
 from tests.lab.helpers import rows, small, what
 
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foxspread.lab.world.clock import Backwards, Clock
 from foxspread.lab.scenario import Group, Kind, Rules
+from foxspread.lab.world.clock import Backwards, Clock
 from foxspread.lab.world.fleet import Job, Machine, Memory
 from tests.lab.helpers import KIND, job, server, what
 
--- a/tests/mesh/dataplane/test_caller.py
+++ b/tests/mesh/dataplane/test_caller.py
@@ -1,15 +1,15 @@
 """Requests of clients from the first byte to the last, on both hops: who goes away, waits, or comes too
 early; and that nothing is left in flight, counted or timed then."""
 
-from foxspread.model import Outcome
-from foxspread.net.http import Message
+from foxspread.mesh.configuration.items import ROUTE, Item
 from foxspread.mesh.dataplane.caller import judged
 from foxspread.mesh.dataplane.errand import MARGIN_S
 from foxspread.mesh.dataplane.lasthop import DRAIN_PART
 from foxspread.mesh.dataplane.memory import Share
-from foxspread.mesh.configuration.items import ROUTE, Item
 from foxspread.mesh.registry.heartbeat import DRAINING, Heartbeat
 from foxspread.mesh.settings import BOUNDS
+from foxspread.model import Outcome
+from foxspread.net.http import Message
 from tests.mesh.helpers import (
     Late,
     Loop,
@@ -441,7 +441,7 @@
                     if id != f"i-{tried}":  # the same one is asked again
                         upstream.told(self.loop.now, 3)
                 place = tried, 80 if beside else 70
-                (near,) = [each for there, each in self.loop.lines if there == place and not each.ended]
+                (near,) = (each for there, each in self.loop.lines if there == place and not each.ended)
                 near.other.receive = lambda data, near=near: near.other.abort()
                 transport = site.ask(PAY)
                 self.loop.advance(0.4)
--- a/tests/mesh/dataplane/test_ends.py
+++ b/tests/mesh/dataplane/test_ends.py
@@ -254,7 +254,7 @@
             site, later = Site(self.loop, mail_class=mail_class), []
             site.acts = [later.append]
             transport = site.ask(PAY)
-            (near,) = [each for place, each in self.loop.lines[-2:] if place[1] == 70]
+            (near,) = (each for place, each in self.loop.lines[-2:] if place[1] == 70)
             near.other.abort()
             self.loop.settle()
             self.assertEqual([200 if mail_class == "safe" else 502], statuses(transport.written))
--- a/tests/mesh/dataplane/test_errand.py
+++ b/tests/mesh/dataplane/test_errand.py
@@ -4,12 +4,12 @@
 
 import testtools
 
-from foxspread.model import Outcome
-from foxspread.mesh.dataplane.errand import COUNT_S, MARGIN_S, PROMISES, Pass, Refuse, Send, Steering
 from foxspread.mesh.configuration.routes import route_of
-from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_instance
+from foxspread.mesh.dataplane.errand import COUNT_S, MARGIN_S, PROMISES, Pass, Refuse, Send, Steering
 from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_instance
 from foxspread.mesh.settings import BOUNDS
+from foxspread.model import Outcome
 from foxspread.sums import Chance
 from tests.mesh.helpers import route
 
--- a/tests/mesh/dataplane/test_heads.py
+++ b/tests/mesh/dataplane/test_heads.py
@@ -2,9 +2,9 @@
 
 import testtools
 
-from foxspread.net import http
 from foxspread.mesh.dataplane import heads
 from foxspread.mesh.dataplane.lasthop import Terms
+from foxspread.net import http
 
 
 class Told(testtools.TestCase):
--- a/tests/mesh/gossip/test_anti_entropy.py
+++ b/tests/mesh/gossip/test_anti_entropy.py
@@ -5,7 +5,7 @@
 
 import testtools
 
-from foxspread.mesh.gossip.anti_entropy import PULL_TIMEOUT_S, PendingPull, AntiEntropy
+from foxspread.mesh.gossip.anti_entropy import PULL_TIMEOUT_S, AntiEntropy, PendingPull
 
 
 class Pulls(testtools.TestCase):
--- a/tests/mesh/health/test_upstreams.py
+++ b/tests/mesh/health/test_upstreams.py
@@ -2,7 +2,8 @@
 
 import testtools
 
-from foxspread.model import Outcome
+from foxspread.mesh.health.health import Health
+from foxspread.mesh.health.upstreams import Upstreams
 from foxspread.mesh.registry.endpoint_records import (
     LEAVING,
     UP,
@@ -10,8 +11,7 @@
     EndpointRecords,
     unpack_instance,
 )
-from foxspread.mesh.health.health import Health
-from foxspread.mesh.health.upstreams import Upstreams
+from foxspread.model import Outcome
 from foxspread.sums import Chance
 
 
--- a/tests/mesh/hollow/test_sizing.py
+++ b/tests/mesh/hollow/test_sizing.py
@@ -5,8 +5,8 @@
 
 from foxspread.mesh.cli import mesh as main
 from foxspread.mesh.hollow.sizing import filled, items, message, rows, timed, weighed
-from foxspread.mesh.transport.netstrings import encode
 from foxspread.mesh.registry.endpoint_records import unpack_record
+from foxspread.mesh.transport.netstrings import encode
 
 
 class Weighing(testtools.TestCase):
--- a/tests/mesh/hollow/test_traffic_meter.py
+++ b/tests/mesh/hollow/test_traffic_meter.py
@@ -5,12 +5,12 @@
 
 import testtools
 
-from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
 from foxspread.mesh.hollow.sidecar import Hollow
-from foxspread.mesh.transport.peer_connection import PeerConnection
-from foxspread.mesh.transport.netstrings import encode
+from foxspread.mesh.hollow.traffic_meter import Meter, MeteredLoop
 from foxspread.mesh.local_cluster.layout import BOUNDS
 from foxspread.mesh.settings import Settings
+from foxspread.mesh.transport.netstrings import encode
+from foxspread.mesh.transport.peer_connection import PeerConnection
 
 NET = f"127.{10 + os.getpid() // 250 % 240}.{os.getpid() % 250}"  # of this process alone
 
--- a/tests/mesh/replication/scripted_replicas.py
+++ b/tests/mesh/replication/scripted_replicas.py
@@ -2,9 +2,9 @@
 
 from foxspread.mesh.configuration.items import ROUTE, SERVICE, Item
 from foxspread.mesh.replication.messages import ProposerReply
-from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.actions import Attempt, Crash, Deliver, Wipe
 from foxspread.mesh.simulation.cluster_state import Case, ClusterState, loads
+from foxspread.mesh.simulation.machines import Cores
 
 THREE, FIVE = ("a", "b", "c"), ("a", "b", "c", "d", "x")
 
--- a/tests/mesh/replication/test_message_orders.py
+++ b/tests/mesh/replication/test_message_orders.py
@@ -6,28 +6,28 @@
 
 from foxspread.mesh.configuration.items import Item
 from foxspread.mesh.errors import Failure
-from foxspread.mesh.replication.messages import Accept, Enroll, Prepare
 from foxspread.mesh.replication.acceptor import Acceptor
+from foxspread.mesh.replication.messages import Accept, Enroll, Prepare
 from foxspread.mesh.replication.stored_state import RecoveredState
+from foxspread.mesh.simulation.actions import Crash, Wipe
+from foxspread.mesh.simulation.cluster_state import Case, ClusterState
+from foxspread.mesh.simulation.explorer import explore
 from foxspread.mesh.simulation.machines import Cores
 from foxspread.mesh.simulation.mutants import MUTANTS
-from foxspread.mesh.simulation.explorer import explore
-from foxspread.mesh.simulation.cluster_state import Case, ClusterState
 from foxspread.mesh.simulation.state_invariants import read_from
-from foxspread.mesh.simulation.actions import Crash, Wipe
 from tests.mesh.replication.scripted_replicas import (
     FIVE,
     SCRIPTS,
     SCRIPTS_BY_MUTANT,
     THREE,
-    deliver_reply,
-    send_prepare,
-    start_attempt,
     deliver_enrolment,
+    deliver_reply,
     new_state,
-    send_accept,
     route,
+    send_accept,
+    send_prepare,
     service,
+    start_attempt,
     wipe_and_enrol,
 )
 
--- a/tests/mesh/simulation/test_explorer.py
+++ b/tests/mesh/simulation/test_explorer.py
@@ -7,17 +7,17 @@
 from foxspread.mesh.configuration.items import LEASE, MEMBERS, Item
 from foxspread.mesh.replication.membership import MemberSet, membership_change
 from foxspread.mesh.simulation.acceptor_mutants import EnrolsInChunks
-from foxspread.mesh.simulation.mutants import MUTANTS
 from foxspread.mesh.simulation.cluster_state import Case, ClusterState
 from foxspread.mesh.simulation.explorer import explore
 from foxspread.mesh.simulation.machines import Cores
+from foxspread.mesh.simulation.mutants import MUTANTS
 from tests.mesh.replication.scripted_replicas import (
     THREE,
-    send_prepare,
-    start_attempt,
-    send_accept,
     route,
+    send_accept,
+    send_prepare,
     service,
+    start_attempt,
     wipe_and_enrol,
 )
 
--- a/tests/mesh/simulation/test_fleet.py
+++ b/tests/mesh/simulation/test_fleet.py
@@ -5,10 +5,10 @@
 from testtools import TestCase
 
 from foxspread.mesh.configuration.items import SERVICE, Item
-from foxspread.mesh.simulation.fleet import Fleet, RunResult, play
+from foxspread.mesh.simulation.campaign import run_campaign
 from foxspread.mesh.simulation.events import Event, EventKind
+from foxspread.mesh.simulation.fleet import Fleet, RunResult, play
 from foxspread.mesh.simulation.schedule import FAULTS, Plan, draw_schedule, named_plans
-from foxspread.mesh.simulation.campaign import run_campaign
 from tests.mesh.replication.scripted_replicas import route, service
 from tests.mesh.simulation.scripted_events import scripted_events
 
--- a/tests/mesh/test_emulators.py
+++ b/tests/mesh/test_emulators.py
@@ -10,12 +10,12 @@
 
 from foxspread.mesh.dataplane.lanes import Lanes
 from foxspread.mesh.dataplane.serving import Desk, Exchange, Limits, Serving
-from foxspread.mesh.settings import Address, format_address
-from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
 from foxspread.mesh.emulators.client import judged
 from foxspread.mesh.emulators.event_record import EventRecord
+from foxspread.mesh.emulators.http_call import Reply, asked, encode_request
 from foxspread.mesh.emulators.operator import Operator
 from foxspread.mesh.emulators.server import Server, Told
+from foxspread.mesh.settings import Address, format_address
 
 PATIENCE_S = 5.0
 
--- a/tests/mesh/test_local_cluster.py
+++ b/tests/mesh/test_local_cluster.py
@@ -9,9 +9,9 @@
 import testtools
 import uvloop
 
-from foxspread.mesh.local_cluster.supervisor import Supervisor, pid_of
 from foxspread.mesh.local_cluster.layout import Layout, create_layout, read
 from foxspread.mesh.local_cluster.smoke_test import Figures, SmokeTest
+from foxspread.mesh.local_cluster.supervisor import Supervisor, pid_of
 
 MOST_S = 60.0  # far over what it takes
 
--- a/tests/mesh/transport/test_peer_connection.py
+++ b/tests/mesh/transport/test_peer_connection.py
@@ -3,6 +3,9 @@
 import testtools
 
 from foxspread.mesh.configuration.items import SERVICE, Item
+from foxspread.mesh.replication.learner import CHUNK_LIMIT_BYTES, Learner
+from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
+from foxspread.mesh.transport.netstrings import MAX_MESSAGE_BYTES, Decoder, encode
 from foxspread.mesh.transport.peer_connection import (
     HEARTBEAT_INTERVAL_S,
     SILENCE_TIMEOUT_S,
@@ -10,9 +13,6 @@
     ConnectionState,
     PeerConnection,
 )
-from foxspread.mesh.transport.netstrings import MAX_MESSAGE_BYTES, Decoder, encode
-from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
-from foxspread.mesh.replication.learner import CHUNK_LIMIT_BYTES, Learner
 
 
 class Stuck:
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,5 +1,4 @@
 import unittest
-
 from unittest import mock
 
 from foxspread.facade import Answer, CallOff, Facade, Fault, Outcome, Send, Subscribe
