--- a/foxspread/consensus/clock.py
+++ b/foxspread/consensus/clock.py
@@ -16,4 +16,5 @@
         self.rate, self.started = rate, time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def __call__(self) -> float:
+        """Return the seconds since its creation, and `ORIGIN_S`."""
         return (time.clock_gettime(time.CLOCK_BOOTTIME) - self.started) * self.rate + ORIGIN_S
--- a/foxspread/mesh/budget/runs.py
+++ b/foxspread/mesh/budget/runs.py
@@ -11,6 +11,8 @@
 
 
 class Runs:
+    """The runs of one server, by the ids of their requests."""
+
     def __init__(self) -> None:
         self.of: dict[bytes, tuple[bool, float]] = {}  # id of the request: a repeat, and until when it calls
         self.out: dict[bytes, bool] = {}  # those that are not answered
@@ -18,8 +20,9 @@
         self.swept_at = 0.0
 
     def begun(self, now: float, id: bytes, again: bool, until: float) -> None:
+        """A run begins; `again`: it is a repeat; `until`: its deadline."""
         if now - self.swept_at > SWEEP_S:
-            self.of = {each: told for each, told in self.of.items() if now <= told[1] + AFTER_S}
+            self.of = {run: kept for run, kept in self.of.items() if now <= kept[1] + AFTER_S}
             self.swept_at = now
         old = self.of.get(id, (False, until))
         self.of[id] = again or old[0], max(until, old[1])
