--- a/foxspread/mesh/__init__.py
+++ b/foxspread/mesh/__init__.py
@@ -1,2 +1,2 @@
 """The mesh: one program for all machines. docs/design/mesh.md has the choice, docs/architecture.md the
-names."""
+parts, docs/glossary.md the names."""
--- a/foxspread/mesh/configuration/document.py
+++ b/foxspread/mesh/configuration/document.py
@@ -1,7 +1,9 @@
 """The JSON of the operator's configuration: the one place that knows the keys of its contents.
 
 The keys and their form are the operator's (the platform's page on configuration) and stay as they are on the
-wire, in the answer of `Config.Get` and on disk: a route has the host of its gate beside the rule.
+wire, in the answer of `Config.Get` and on disk: a route has the host of its gate beside the rule. So `lodge`
+(set), `withdraw` (drop), `gates` (hosts), `fleets` (services), `regulations` (rules) and `edition` (version)
+are the operator's spelling of a call; docs/operators/mesh.md has an example.
 """
 
 from collections.abc import Iterable, Mapping
--- a/foxspread/mesh/configuration/validation.py
+++ b/foxspread/mesh/configuration/validation.py
@@ -4,6 +4,9 @@
 slices between other work. What is unclear is refused for good: nothing of the call may come into force.
 Validity that spans items is checked later, against the items in force (`consistency`).
 
+Reasons of a refusal name keys in the operator's spelling of the call: `lodge`, `withdraw`, `gates`, `fleets`,
+`edition` (`document` has their meaning).
+
 This module loads cerberus, so only replicas import it.
 """
 
--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -312,7 +312,7 @@
             self.contact.reconfigure()
 
     def _announce_contact(self) -> None:
-        """Peers are told when contact with a quorum begins or ends; then state may be announced again."""
+        """Peers are notified when contact with a quorum begins or ends; then state may be announced again."""
         if (in_contact := self.contact.take_change()) is None:
             return
         server = self.replica_server
--- a/foxspread/mesh/replica_contact.py
+++ b/foxspread/mesh/replica_contact.py
@@ -51,7 +51,7 @@
         self.replica, self.quorum_contact, self.reconfiguration = replica, quorum_contact, reconfiguration
         self.new_identity = new_identity
         self.disk_history = DiskHistory()
-        self.announced = False  # whether peers were last told that there is contact
+        self.announced = False  # whether the last notification of peers said that there is contact
 
     # As `StateSync` sees the replica.
 
@@ -66,7 +66,7 @@
         return self.replica.fresh
 
     def in_contact(self) -> bool:
-        """Whether this replica, now, can have missed no more than a moment of commits."""
+        """Whether this replica, now, holds all that was acknowledged up to `STALENESS_LIMIT_S` ago."""
         acceptor = self.replica.acceptor
         if acceptor is None or not acceptor.members_confirmed:
             return False  # an empty disk: the members are known from the seeds only
@@ -121,7 +121,7 @@
         self.quorum_contact.receive(self.clock(), sender, reply)
 
     def take_change(self) -> bool | None:
-        """Whether there is contact with a quorum, if peers are to be told: it began or ended."""
+        """Whether there is contact with a quorum, if peers are to be notified: it began or ended."""
         in_contact = self.in_contact()
         if in_contact == self.announced:
             return None
--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -1,6 +1,8 @@
 """What a machine with storage promises and accepts: an acceptor of one register whose value is the whole set
-of items (docs/design/mesh.md has the argument). Pure: writes that a method returns have to be on disk
-before the reply returned with them, or any later message, goes out; the caller keeps that order.
+of items (docs/design/mesh.md has the argument). Pure: writes that a method returns, and all returned before,
+have to be on disk before the reply returned with them goes out; the caller sees to it. Nothing else waits for
+the disk: not a proposer's requests, not reports of the contact with a quorum, not `Enroll`. That is safe, for
+a call is acknowledged only on acceptances of a majority, and each of these is such a reply.
 
 The register's value at a proposal is the committed set and a delta over it. A proposal is committed once a
 majority has accepted it; each later value extends it, so a delta over an older committed set may be laid over
--- a/foxspread/mesh/replication/proposer.py
+++ b/foxspread/mesh/replication/proposer.py
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class ProposerOutput:
-    """What to do, in this order: write, send, complete calls."""
+    """What to do, in this order: hand over the writes (nothing here waits for them), send, complete calls."""
 
     writes: list[Write] = field(default_factory=list)
     sends: list[Outgoing] = field(default_factory=list)
--- a/foxspread/mesh/replication/quorum_contact.py
+++ b/foxspread/mesh/replication/quorum_contact.py
@@ -82,7 +82,8 @@
                 self._count(request, report)
 
     def update(self, members: MemberSet, committed_number: ProposalNumber) -> None:
-        """The member set and the committed set as they are here now; before each use of `staleness`."""
+        """The member set and the committed set as they are here now. To be called before
+        each use of `staleness_s` or `is_current`."""
         if members.epoch < self.epoch:
             return  # another member set is committed: a majority of this one may be none
         for index in range(len(self.pending) - 1, -1, -1):
--- a/foxspread/mesh/replication/replica.py
+++ b/foxspread/mesh/replication/replica.py
@@ -1,4 +1,5 @@
-"""A machine's acceptor and proposer joined: what they return is written, then sent, then reported.
+"""A machine's acceptor and proposer joined. A reply of the acceptor goes out once its writes are on disk; the
+writes of the proposer are only handed over before its requests go out and its outcomes are reported.
 
 It also enrols a disk that came back empty, and has what was accepted and not committed taken up again.
 Without I/O: `write` hands writes to a storage, which calls back once they, and all handed over before, are on
--- a/foxspread/mesh/replication/storage.py
+++ b/foxspread/mesh/replication/storage.py
@@ -1,7 +1,8 @@
 """A replica's storage: one SQLite file, written by one thread, many writes to a sync (write-ahead log).
 
 What is handed over together with a callback is on disk before the callback runs. A write that the disk
-refuses is retried, and nothing goes out meanwhile; a file that is torn, truncated or not ours counts as none.
+refuses is retried, and no reply of the acceptor goes out meanwhile; a file that is torn, truncated or not
+ours counts as none.
 
 A file that was copied and put back later is sound, and has forgotten what came between. It counts how often
 it was opened; others remember the highest count, and the highest promise, that it has named (`is_older`).
--- a/foxspread/mesh/replication/stored_state.py
+++ b/foxspread/mesh/replication/stored_state.py
@@ -14,15 +14,16 @@
 # and a random text.
 DiskIdentity = ProposalNumber
 
+# Names of the `meta` rows as they are spelt on disk; some differ from the names in the code.
 DISK = "disk"
 MEMBERS = "members"
 VOTING = "voting"
-MEMBERS_CONFIRMED = "known"
+MEMBERS_CONFIRMED = "known"  # the spelling on disk
 PROMISED = "promised"
 ACCEPTED = "accepted"
-COMMITTED = "settled"
+COMMITTED = "settled"  # the spelling on disk
 DISKS = "disks"
-START_COUNT = "boots"
+START_COUNT = "boots"  # the spelling on disk
 
 
 @dataclass(frozen=True, slots=True)
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -1,10 +1,10 @@
 """What a process does with the committed set and the endpoint records that it and its peers hold.
 
 Versions are announced and pulled by anti-entropy, endpoint records travel in the answer to a pull, the
-committed set in chunks. Two rules decide who hears what:
+committed set in chunks. Two rules decide who is sent what:
 
-* Sidecars are told of the committed set only by replicas in contact with a quorum, or by sidecars, so that
-  they can tell how old it may be; replicas are told always, for what is committed remains so.
+* Sidecars are sent the committed set only by replicas in contact with a quorum, or by sidecars, so that they
+  know how stale it may be; replicas are always sent it, for what is committed remains so.
 * Replicas learn each sidecar's record from that sidecar itself; sidecars that fall back on each other
   exchange all records.
 
@@ -94,7 +94,7 @@
         """The committed set is held there from now on, as once the disk has been read."""
         self.learner = self.snapshot_transfer.learner = learner
 
-    # Who may hear what.
+    # Who may be sent what.
 
     def may_announce(self, peer: str, source: str) -> bool:
         """Whether versions of that source are announced to that peer unasked."""
@@ -103,7 +103,7 @@
         return source != COMMITTED_SET or self.is_replica(peer) or self.replica.in_contact()
 
     def may_send_committed_set(self, peer: str) -> bool:
-        """Whether that peer may be told of the committed set now."""
+        """Whether that peer may be sent the committed set now."""
         return self.replica is None or self.is_replica(peer) or self.replica.in_contact()
 
     def may_learn_from(self, peer: str) -> bool:
@@ -152,7 +152,7 @@
     # Peers.
 
     def peer_connected(self, peer: str) -> None:
-        """Announces all versions that the peer may hear of."""
+        """Announces all versions that may be announced to the peer."""
         self.anti_entropy.add_peer(peer)
         self.send(peer, Have(self.anti_entropy.full_announcement(peer)).packed())
 
@@ -162,7 +162,7 @@
         self.snapshot_transfer.on_peer_lost(peer)
 
     def basis_pull(self, now: float) -> Fields:
-        """A pull whose answer tells how old the committed set here may be."""
+        """A pull whose answer says how stale the committed set here may be."""
         return Pull({COMMITTED_SET: self.learner.committed_number}, now).packed()
 
     # Messages.
@@ -189,7 +189,7 @@
         self.send(peer, self.answer_pull(peer, Pull.decode(fields)).packed())
 
     def answer_pull(self, peer: str, pull: Pull) -> PullResponse:
-        """The records that are asked for, and how new the committed set is if the peer may be told."""
+        """The records that are asked for, and how new the committed set is if the peer may be sent it."""
         records = [
             self.records.by_node[source].packed()
             for source in pull.versions
--- a/foxspread/mesh/transport/messages.py
+++ b/foxspread/mesh/transport/messages.py
@@ -245,6 +245,8 @@
 
 
 HEARTBEAT_FIELDS = Heartbeat().packed()
+# For tests of the recorded messages. Received messages are dispatched elsewhere: by `StateSync.handlers` and
+# `PeerLinks._on_message`.
 DECODERS: dict[str, Callable[[Fields], Message]] = {
     each.kind: each.decode
     for each in (
