--- a/foxspread/mesh/transport/messages.py
+++ b/foxspread/mesh/transport/messages.py
@@ -245,8 +245,8 @@
 
 
 HEARTBEAT_FIELDS = Heartbeat().packed()
-# For tests of the recorded messages. Received messages are dispatched elsewhere: by `StateSync.handlers` and
-# `PeerLinks._on_message`.
+# Read by tests only. Received messages are dispatched by `StateSync.handlers`, `PeerLinks._on_message`
+# (hello, contact), `PeerLinks._on_datagram` (shuffles) and `PeerConnection` (heartbeats).
 DECODERS: dict[str, Callable[[Fields], Message]] = {
     each.kind: each.decode
     for each in (
