--- a/foxspread/mesh/replication/acceptor.py
+++ b/foxspread/mesh/replication/acceptor.py
@@ -70,7 +70,7 @@
 
 
 class Learned(NamedTuple):
-    """What follows news of the committed set."""
+    """What follows an update of the committed set."""
 
     writes: list[Write]
     new_items: list[Item]
