--- a/foxspread/mesh/node.py
+++ b/foxspread/mesh/node.py
@@ -9,6 +9,7 @@
 import random
 import signal
 import time
+from typing import TYPE_CHECKING
 
 from foxspread.mesh.boot_clock import boot_clock
 from foxspread.mesh.committed_configuration import CommittedConfiguration
@@ -32,22 +33,19 @@
 from foxspread.mesh.registry.endpoint_records import LEAVING
 from foxspread.mesh.registry.incarnations import InstanceTable
 from foxspread.mesh.registry.own_record import OwnRecord
-from foxspread.mesh.replica_contact import ReplicaContact
-from foxspread.mesh.replication.acceptor import Acceptor
 from foxspread.mesh.replication.learner import Learner
-from foxspread.mesh.replication.messages import ContactReply
-from foxspread.mesh.replication.quorum_contact import QuorumContact
-from foxspread.mesh.replication.reconfiguration import Reconfiguration
-from foxspread.mesh.replication.replica import CALL_TIMEOUT_S
-from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S, ReplicaServer
 from foxspread.mesh.replication.snapshot_transfer import SnapshotTransfer
-from foxspread.mesh.replication.storage import Storage
-from foxspread.mesh.settings import Settings, format_address, read_settings, reloaded
+from foxspread.mesh.settings import Settings, read_settings, reloaded
 from foxspread.mesh.shutdown import Shutdown
 from foxspread.mesh.state_sync import StateSync
 from foxspread.mesh.transport.messages import Fields, Hello, QuorumContactChange, kind_of
 from foxspread.sums import Chance
 
+if TYPE_CHECKING:
+    from foxspread.mesh.replica_contact import ReplicaContact
+    from foxspread.mesh.replication.replica_server import ReplicaServer
+    from foxspread.mesh.replication.storage import Storage
+
 TICK_S = 0.1
 SWEEP_TICKS = 5  # idle connections and expired requests are looked for every half second
 RELOAD_TICKS = 20  # the settings file may change without a signal
@@ -65,11 +63,7 @@
         self.incarnation = os.urandom(10).hex()  # random: two starts of a node never share one
         self.chance = Chance(int.from_bytes(os.urandom(4), "big"))
         self.event_log = EventLog(self.clock)
-        self.member = (
-            format_address(settings.counters["control"])
-            if settings.has_storage and "control" in settings.counters
-            else ""
-        )
+        self.member = settings.member_name
         self.replica_server: ReplicaServer | None = None
         self.contact: ReplicaContact | None = None
         self.instances = InstanceTable(settings.heartbeat_s, settings.zone)
@@ -173,7 +167,15 @@
         self.links.cancel_dials()
         self.tasks.cancel()
 
-    def _build_replica(self) -> Storage:
+    def _build_replica(self) -> "Storage":
+        """Its code is loaded here: a sidecar, with a small share of a processor, starts without it."""
+        from foxspread.mesh.replica_contact import ReplicaContact
+        from foxspread.mesh.replication.quorum_contact import QuorumContact
+        from foxspread.mesh.replication.reconfiguration import Reconfiguration
+        from foxspread.mesh.replication.replica import CALL_TIMEOUT_S
+        from foxspread.mesh.replication.replica_server import NO_QUORUM_TIMEOUT_S, ReplicaServer
+        from foxspread.mesh.replication.storage import Storage
+
         storage = Storage(self.settings.data_dir, self.loop.call_soon_threadsafe)
         self.replica_server = server = ReplicaServer(
             self.clock,
@@ -211,8 +213,10 @@
         await self.endpoints.listen(self.loop, self.settings.counters, control, readiness)
         self.endpoints.servers.append(await self.links.listen(self.settings.inner))
 
-    async def _recover(self, storage: Storage) -> None:
+    async def _recover(self, storage: "Storage") -> None:
         """Takes up what the disk holds; until then peers are answered without it."""
+        from foxspread.mesh.replication.acceptor import Acceptor
+
         settings, server = self.settings, self.replica_server
         saved = await self.loop.run_in_executor(
             None, storage.open, tuple(sorted(settings.seeds)), settings.first_start
@@ -391,5 +395,5 @@
             answer = self.contact.handle(self.links.member_at(peer), fields)
             if answer is not None:
                 self.links.send(peer, answer.packed())
-            if kind_of(fields) == ContactReply.kind:
+            if self.contact.is_reply(fields):
                 self._announce_contact()
--- a/foxspread/mesh/replica_contact.py
+++ b/foxspread/mesh/replica_contact.py
@@ -53,6 +53,11 @@
         self.disk_history = DiskHistory()
         self.announced = False  # whether the last notification of peers said that there is contact
 
+    @staticmethod
+    def is_reply(fields: Fields) -> bool:
+        """Whether these fields answer a round: contact may have begun by it."""
+        return kind_of(fields) == ContactReply.kind
+
     # As `StateSync` sees the replica.
 
     @property
--- a/foxspread/mesh/replication/messages.py
+++ b/foxspread/mesh/replication/messages.py
@@ -17,20 +17,17 @@
     StaleEpoch,
 )
 from foxspread.mesh.replication.sync_messages import (
+    SNAPSHOT_DECODERS,
     ContactReply,
     ContactRequest,
     DiskState,
     Report,
     SnapshotChunkRequest,
+    SnapshotReply,
     SnapshotRestart,
     SnapshotRows,
 )
-from foxspread.mesh.replication.wire_format import (
-    KIND,
-    START_OVER,
-    Fields,
-    MalformedMessageError,
-)
+from foxspread.mesh.replication.wire_format import Fields, MalformedMessageError, decode_by
 
 __all__ = [
     "Accept",
@@ -60,13 +57,8 @@
 ]
 
 
-def _unpack_snapshot_reply(fields: Fields) -> SnapshotRows | SnapshotRestart:
-    return (SnapshotRestart if fields.get(START_OVER) else SnapshotRows).unpacked(fields)
-
-
 AcceptorRequest = Prepare | Accept
 ProposerReply = Promise | Accepted | Nack | StaleEpoch | Behind
-SnapshotReply = SnapshotRows | SnapshotRestart
 Message = (
     AcceptorRequest
     | ProposerReply
@@ -84,7 +76,7 @@
 )
 DECODERS: dict[str, Callable[[Fields], Message]] = {
     **{each.kind: each.unpacked for each in _PLAIN_KINDS},
-    SnapshotRows.kind: _unpack_snapshot_reply,
+    **SNAPSHOT_DECODERS,
 }
 
 
@@ -93,13 +85,4 @@
 
     Raises `MalformedMessageError` where a field is missing or of another shape.
     """
-    if KIND not in fields:
-        raise MalformedMessageError("no kind")
-    kind = fields[KIND]
-    decoder = DECODERS.get(kind) if isinstance(kind, str) else None
-    if decoder is None:
-        return None
-    try:
-        return decoder(fields)
-    except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-        raise MalformedMessageError(f"{kind}: {error!r}") from error
+    return decode_by(DECODERS, fields)
--- a/foxspread/mesh/replication/snapshot_transfer.py
+++ b/foxspread/mesh/replication/snapshot_transfer.py
@@ -25,7 +25,7 @@
     end_of_proposal,
     offset_of,
 )
-from foxspread.mesh.replication.messages import (
+from foxspread.mesh.replication.sync_messages import (
     SnapshotChunkRequest,
     SnapshotReply,
     SnapshotRestart,
--- a/foxspread/mesh/replication/sync_messages.py
+++ b/foxspread/mesh/replication/sync_messages.py
@@ -1,5 +1,6 @@
 """The messages by which replicas stay in contact, and by which a committed set is brought up to date."""
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import ClassVar
 
@@ -39,6 +40,7 @@
     VOTES,
     ZONE,
     Fields,
+    decode_by,
 )
 
 
@@ -235,3 +237,22 @@
     def unpacked(cls, fields: Fields) -> "SnapshotRestart":
         """The reverse of `packed`; any lookup or type error means a malformed message."""
         return cls(fields[REQUEST_NUMBER], unpack_proposal_number(fields[CHUNK_COMMITTED_NUMBER]))
+
+
+SnapshotReply = SnapshotRows | SnapshotRestart
+SnapshotMessage = SnapshotChunkRequest | SnapshotReply
+
+
+def _unpack_snapshot_reply(fields: Fields) -> SnapshotReply:
+    return (SnapshotRestart if fields.get(START_OVER) else SnapshotRows).unpacked(fields)
+
+
+SNAPSHOT_DECODERS: dict[str, Callable[[Fields], SnapshotMessage]] = {
+    SnapshotChunkRequest.kind: SnapshotChunkRequest.unpacked,
+    SnapshotRows.kind: _unpack_snapshot_reply,
+}
+
+
+def decode_snapshot_message(fields: Fields) -> SnapshotMessage | None:
+    """As `messages.decode`, for what sidecars exchange too: they need not load the register's messages."""
+    return decode_by(SNAPSHOT_DECODERS, fields)
--- a/foxspread/mesh/replication/wire_format.py
+++ b/foxspread/mesh/replication/wire_format.py
@@ -3,7 +3,8 @@
 The spelling, and the order of the keys, is the protocol between releases and must not change.
 """
 
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import Any, TypeVar
 
 from foxspread.mesh.configuration.items import Item, unpack_item
 from foxspread.mesh.replication.learner import unpack_proposal_number
@@ -12,6 +13,8 @@
 
 __all__ = ["Fields", "MalformedMessageError"]  # besides the keys below
 
+Decoded = TypeVar("Decoded")
+
 # Keys of more than one kind of message.
 KIND = "t"
 PROPOSAL_NUMBER = "b"
@@ -62,3 +65,20 @@
 def unpack_disks(packed: Fields) -> dict[str, DiskIdentity]:
     """Identities of disks by member."""
     return {member: unpack_proposal_number(disk) for member, disk in packed.items()}
+
+
+def decode_by(decoders: Mapping[str, Callable[[Fields], Decoded]], fields: Fields) -> Decoded | None:
+    """The message that these fields spell; None for a kind that has no decoder here.
+
+    Raises `MalformedMessageError` where a field is missing or of another shape.
+    """
+    if KIND not in fields:
+        raise MalformedMessageError("no kind")
+    kind = fields[KIND]
+    decoder = decoders.get(kind) if isinstance(kind, str) else None
+    if decoder is None:
+        return None
+    try:
+        return decoder(fields)
+    except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
+        raise MalformedMessageError(f"{kind}: {error!r}") from error
--- a/foxspread/mesh/settings.py
+++ b/foxspread/mesh/settings.py
@@ -130,6 +130,13 @@
         """Whether it is a replica: it keeps the configuration on a disk."""
         return self.data_dir is not None
 
+    @property
+    def member_name(self) -> str:
+        """The name of this process among the replicas, its control address; empty without storage."""
+        if not self.has_storage or "control" not in self.counters:
+            return ""
+        return format_address(self.counters["control"])
+
     def seed_addresses(self) -> list[Address]:
         """Where the replicas that the seeds name accept connections of the mesh."""
         return [(parse_address(each)[0], self.inner_ports[0]) for each in self.seeds]
--- a/foxspread/mesh/state_sync.py
+++ b/foxspread/mesh/state_sync.py
@@ -21,8 +21,12 @@
 from foxspread.mesh.registry.endpoint_records import EndpointRecord, EndpointRecords, unpack_record
 from foxspread.mesh.registry.own_record import OwnRecord
 from foxspread.mesh.replication.learner import Learner, unpack_proposal_number, unpack_row
-from foxspread.mesh.replication.messages import SnapshotChunkRequest, SnapshotRows, decode
 from foxspread.mesh.replication.snapshot_transfer import ReceivedRows, SnapshotTransfer
+from foxspread.mesh.replication.sync_messages import (
+    SnapshotChunkRequest,
+    SnapshotRows,
+    decode_snapshot_message,
+)
 from foxspread.mesh.transport.messages import COMMITTED_SET, Fields, Have, Pull, PullResponse, VersionVector
 
 
@@ -214,12 +218,12 @@
 
     def _on_chunk_request(self, peer: str, fields: Fields) -> None:
         if self.may_send_committed_set(peer):
-            request = decode(fields)
+            request = decode_snapshot_message(fields)
             reply = SnapshotTransfer.reply(self.learner, request, self.age(), self.is_replica(peer))
             self.send(peer, reply.packed())
 
     def _on_chunk(self, peer: str, fields: Fields) -> None:
-        received = self.snapshot_transfer.receive(self.clock(), peer, decode(fields))
+        received = self.snapshot_transfer.receive(self.clock(), peer, decode_snapshot_message(fields))
         if received is not None:
             self._take_rows(received)
         self.schedule_flush()
