--- a/foxspread/cli/lab_rules.py
+++ b/foxspread/cli/lab_rules.py
@@ -115,7 +115,7 @@
     """In virtual time; the exit code."""
     played: list[fleet_rules_simulation.Result] = []
     broken = 0
-    for result in results(fleet_rules_mutants.played, plan, seeds, mutant, jobs):
+    for result in results(fleet_rules_mutants.run_seed, plan, seeds, mutant, jobs):
         played.append(result)
         broken += bool(result.faults)
         if as_json:
@@ -212,7 +212,7 @@
     plan = replace(SingletonPlan(), instances=instances)
     played: list[singleton_simulation.Result] = []
     broken = 0
-    for result in results(singleton_mutants.played, plan, seeds, mutant or "", jobs):
+    for result in results(singleton_mutants.run_seed, plan, seeds, mutant or "", jobs):
         played.append(result)
         broken += bool(result.faults)
         if as_json:
--- a/foxspread/cli/processes.py
+++ b/foxspread/cli/processes.py
@@ -20,6 +20,7 @@
     virtual,
 )
 from foxspread.lab.processes.scenario import Scenario
+from foxspread.lab.processes.simulation_plan import Plan
 from foxspread.lab.scenario import ScenarioError, SocketsError
 
 FILE = click.Path(exists=True, dir_okay=False)
@@ -84,15 +85,15 @@
     befell: list[str]
 
 
-def searched(plan: virtual.Plan, seed: int, mutant: str) -> SeedResult:
+def searched(plan: Plan, seed: int, mutant: str) -> SeedResult:
     """Plays a seed in virtual time. Every third seed has five members."""
     plan = plan if seed % 3 or plan.members != 3 else replace(plan, members=5)
     if mutant:
         plan = mutants.plan(mutants.MUTANTS[mutant], plan)
     world = virtual.World(plan, seed, mutants.MUTANTS[mutant].broken if mutant else None)
-    judge = world.play()
-    faults = [{"rule": fault.rule, "text": fault.text} for fault in judge.faults]
-    return SeedResult(seed, len(judge.ops), faults, world.told)
+    judge = world.run()
+    faults = [{"rule": fault.rule, "text": fault.text} for fault in judge.violations]
+    return SeedResult(seed, len(judge.operations), faults, world.fault_log)
 
 
 @processes.command()
@@ -137,16 +138,16 @@
     kind = mutants.MUTANTS[mutant].broken.member if mutant else explorer.RaftNode
     result = explorer.Explorer(bounds, kind).explore()
     if as_json:
-        click.echo(json.dumps(asdict(result)))
+        click.echo(json.dumps(result.as_row()))
     else:
         click.echo(
             f"{case}: {result.states} states to depth {result.depth}"
-            f"{', which are all there are' if result.whole else ''}, {result.seconds:.1f} s; "
-            f"{result.fault or 'no rule broken'}"
+            f"{', which are all there are' if result.complete else ''}, {result.seconds:.1f} s; "
+            f"{result.violation or 'no rule broken'}"
         )
         for step in result.path:
             click.echo(f"  {step}")
-    sys.exit(1 if result.fault else 0)
+    sys.exit(1 if result.violation else 0)
 
 
 @processes.command("mutants")
--- a/foxspread/lab/processes/fleet_rules_mutants.py
+++ b/foxspread/lab/processes/fleet_rules_mutants.py
@@ -169,35 +169,35 @@
 
 
 WILD_TERMS = LeaseTerms(lease=1.5, alone=4.0, drift=0.1)  # clocks that run a tenth fast or slow
-PARTITIONS = {"faults": ("car_silent", "car_in", "car_out", "cars_cut"), "most": 12}
+PARTITIONS = {"faults": ("car_silent", "car_in", "car_out", "cars_cut"), "max_faults": 12}
 MUTANTS: dict[str, Mutant] = {
     "from_answer": Mutant(
         Broken(holder=FromAnswer),
         ("in_force", "bound"),
-        {"faults": ("held", "car_stall", "cars_cut", "car_silent"), "most": 14},
+        {"faults": ("held", "car_stall", "cars_cut", "car_silent"), "max_faults": 14},
     ),
     "no_drift": Mutant(
         Broken(holder=NoDrift),
         ("in_force", "bound"),
-        {"faults": ("cars_cut",), "most": 24, "acts": 20.0, "pause": 0.6, "terms": WILD_TERMS},
+        {"faults": ("cars_cut",), "max_faults": 24, "acts": 20.0, "think_time": 0.6, "terms": WILD_TERMS},
     ),
     "checks_early": Mutant(Broken(holder=ChecksEarly), ("in_force", "bound", "none_yet")),
     "confirms_early": Mutant(
-        Broken(holder=ConfirmsEarly), ("in_force", "bound"), {"acts": 20.0, "pause": 0.8}
+        Broken(holder=ConfirmsEarly), ("in_force", "bound"), {"acts": 20.0, "think_time": 0.8}
     ),
     "goes_back": Mutant(
         Broken(holder=ResumesLease),
         ("in_force", "bound", "none_yet"),
-        {"faults": ("car_restart", "cars_cut", "car_restart", "car_silent"), "most": 18, "acts": 20.0},
+        {"faults": ("car_restart", "cars_cut", "car_restart", "car_silent"), "max_faults": 18, "acts": 20.0},
     ),
     "takes_older": Mutant(
-        Broken(holder=AcceptsOlder), ("in_force", "bound"), {"faults": ("held", "loss"), "most": 8}
+        Broken(holder=AcceptsOlder), ("in_force", "bound"), {"faults": ("held", "loss"), "max_faults": 8}
     ),
     "newest": Mutant(Broken(holder=Newest), ("in_force", "bound"), PARTITIONS),
     "doesnt_wait": Mutant(
         Broken(manager=DoesntWait),
         ("in_force", "bound"),
-        {"faults": ("kill", "away", "cars_cut", "car_silent"), "most": 14},
+        {"faults": ("kill", "away", "cars_cut", "car_silent"), "max_faults": 14},
     ),
     "unverified": Mutant(
         Broken(manager=Unverified), ("in_force", "bound"), {"faults": ("silent", "silent_in", "split")}
@@ -208,23 +208,23 @@
     "suspended_clock": Mutant(
         Broken(stops_suspended=True),
         ("in_force", "bound"),
-        {"faults": ("car_stall", "cars_cut", "car_out"), "most": 14, "acts": 20.0},
+        {"faults": ("car_stall", "cars_cut", "car_out"), "max_faults": 14, "acts": 20.0},
     ),
 }
 
 
-def played(plan: FleetRulesPlan, seed: int, mutant: str) -> Result:
+def run_seed(plan: FleetRulesPlan, seed: int, mutant: str) -> Result:
     """One seed with a broken part; empty: the sound ones."""
     if not mutant:
-        return fleet_rules_simulation.played(plan, seed)
+        return fleet_rules_simulation.run_seed(plan, seed)
     kind = MUTANTS[mutant]
     SAVED_LEASES.clear()
-    return fleet_rules_simulation.played(replace(plan, **kind.plan), seed, kind.broken)
+    return fleet_rules_simulation.run_seed(replace(plan, **kind.plan), seed, kind.broken)
 
 
 def caught(name: str, seeds: range, base: FleetRulesPlan = FleetRulesPlan()) -> Iterator[Result]:
     """Runs that break an invariant."""
     for seed in seeds:
-        result = played(base, seed, name)
+        result = run_seed(base, seed, name)
         if result.faults:
             yield result
--- a/foxspread/lab/processes/fleet_rules_simulation.py
+++ b/foxspread/lab/processes/fleet_rules_simulation.py
@@ -13,11 +13,13 @@
 from foxspread.fleet_rules.lease_manager import LeaseManager
 from foxspread.fleet_rules.rollout import LeaseTerms, Rollout
 from foxspread.fleet_rules.version_content import VersionContent, parse_version
-from foxspread.lab.processes import virtual
-from foxspread.lab.processes.judge import Fault, Judge
+from foxspread.lab.processes import simulation_plan
+from foxspread.lab.processes.judge import Judge, Violation
 from foxspread.lab.processes.random_versions import random_version
 from foxspread.lab.processes.simulated_sidecar import Reply, SimulatedProcess, SimulatedSidecar
-from foxspread.lab.processes.virtual import Node, Plan, World
+from foxspread.lab.processes.simulated_node import SimulatedNode
+from foxspread.lab.processes.simulation_plan import Plan
+from foxspread.lab.processes.virtual import World
 
 # Names as they stand in scripts, in reports and in the journal.
 SIDECAR_FAULTS = (
@@ -63,17 +65,17 @@
     sleep_share: float = 0.15
     terms: LeaseTerms = LeaseTerms(lease=1.5, alone=4.0)
     writers: int = 1
-    pause: float = 1.5
+    think_time: float = 1.5
     seconds: float = 12.0
-    settle: float = 9.0
-    long: float = 0.0
+    recovery_seconds: float = 9.0
+    long_content_share: float = 0.0
     faults: tuple[str, ...] = NODE_FAULTS + SIDECAR_FAULTS
     lossy: tuple[str, ...] = ()
-    most: int = 10
+    max_faults: int = 10
 
 
 @dataclass
-class Broken(virtual.Broken):
+class Broken(simulation_plan.Broken):
     """Parts in place of the sound ones. `stops_suspended`: sidecars' clocks stop while they are stalled."""
 
     holder: type[LeaseHolder] = LeaseHolder
@@ -110,19 +112,19 @@
 class ObservedManager(LeaseManager):
     """Reports to the world and the judge what is applied."""
 
-    def __init__(self, node: Node, *arguments: Any) -> None:
+    def __init__(self, node: SimulatedNode, *arguments: Any) -> None:
         broken = node.world.broken
         self.node_type, self.store_type, self.node = broken.member, broken.rollout, node
         self.min_compaction_bytes = node.world.compact_bytes
         super().__init__(*arguments, terms=node.world.plan.terms)
 
     def _applied(self, index: int, entry: Any) -> None:
-        self.node.world.judge.applied(self.node, index, entry)
+        self.node.world.judge.on_applied(self.node, index, entry)
         super()._applied(index, entry)
         self.node.world.on_applied(self.rollout)
 
     def _restored(self, snapshot: Snapshot) -> None:
-        self.node.world.judge.restored(self.node.id, snapshot.index)
+        self.node.world.judge.on_restored(self.node.id, snapshot.index)
         super()._restored(snapshot)
 
 
@@ -143,31 +145,31 @@
         names = [f"s{number}" for number in range(count)]
         self.processes = {name: kind(self, name, self.rng(name)) for name in names}
 
-    def answer(self, node: Node, answer: Answer) -> None:
+    def answer(self, node: SimulatedNode, answer: Answer) -> None:
         """An answer on its way; lost where the way to its process is cut."""
         reply = self.tokens.get(answer.token, (None, 0))[0]
-        if isinstance(reply, Reply) and self.cut.get((node.id, reply.process.id)):
+        if isinstance(reply, Reply) and self.network.is_blocked(node.id, reply.process.id):
             return
         super().answer(node, answer)
 
-    def play(self) -> Judge:
-        """Processes start within the first second; then as `World.play`."""
+    def run(self) -> Judge:
+        """Processes start within the first second; then as `World.run`."""
         for process in self.processes.values():
             self.clock.after(self.chance.uniform(0, 1.0), process.start)
-        return super().play()
+        return super().run()
 
-    def befalls(self, kind: str, lasts: float, of: str = "") -> None:
-        """A fault strikes the process or coordinator `of`, or one that is drawn."""
+    def inject_fault(self, kind: str, lasts: float, target: str = "") -> None:
+        """A fault strikes the process or coordinator `target`, or one that is drawn."""
         if kind not in SIDECAR_FAULTS:
-            return super().befalls(kind, lasts, of)
-        process = self.processes.get(of) or self.chance.choice(list(self.processes.values()))
-        self.told.append(f"{self.now:.3f} {kind} {process.id} {lasts:.3f}")
+            return super().inject_fault(kind, lasts, target)
+        process = self.processes.get(target) or self.chance.choice(list(self.processes.values()))
+        self.log_fault(f"{kind} {process.id} {lasts:.3f}")
         if kind == "cars_cut":
             self._partition_a_third(lasts)
         elif kind in ("car_silent", "car_in", "car_out"):
             out_of = [(process.id, node) for node in self.ids] if kind != "car_in" else []
             into = [(node, process.id) for node in self.ids] if kind != "car_out" else []
-            self.block(out_of + into, lasts)
+            self.network.block(out_of + into, lasts)
         elif kind == "car_stall" and not process.down and process.stalled is None:
             process.stalled = []
             self.clock.after(lasts, self._resume_process, process, process.run, self.now)
@@ -181,7 +183,9 @@
 
     def _partition_a_third(self, lasts: float) -> None:
         third = self.chance.sample(sorted(self.processes), max(1, len(self.processes) // 3))
-        self.block([pair for one in third for node in self.ids for pair in ((one, node), (node, one))], lasts)
+        self.network.block(
+            [pair for one in third for node in self.ids for pair in ((one, node), (node, one))], lasts
+        )
 
     def _change_rate(self, process: SimulatedProcess) -> None:
         local, drift = process.local(), self.plan.terms.drift
@@ -196,9 +200,9 @@
         if process.down:
             process.start(kept)
 
-    def whole(self) -> None:
+    def end_all_faults(self) -> None:
         """From here on nothing fails."""
-        super().whole()
+        super().end_all_faults()
         for process in self.processes.values():
             if process.down:
                 process.start()
@@ -254,12 +258,12 @@
         in_force = self.steps[-1].in_force
         self.act_counts[effective.mode.value] += 1
         if not in_force:
-            return self.judge.found("none_yet", f"{sidecar.id} acts, and no version is in force")
+            return self.judge.record_violation("none_yet", f"{sidecar.id} acts, and no version is in force")
         verdict = self._verdict(effective.rules, in_force)
         after = self.now - next(step.at for step in self.steps if step.in_force == in_force)
         if verdict.violations:
             self._record_violation(verdict.violations[0], after)
-            self.judge.found(
+            self.judge.record_violation(
                 "in_force",
                 f"{sidecar.id} {effective.mode.value} in phase {effective.phase}, {after:.3f} s "
                 f"after: {verdict.violations[0]}",
@@ -267,7 +271,9 @@
         for text in verdict.late_violations:
             self._record_violation(text, after)
             if after > self.plan.terms.contradiction_bound():
-                self.judge.found("bound", f"{sidecar.id} {effective.mode.value}, {after:.3f} s after: {text}")
+                self.judge.record_violation(
+                    "bound", f"{sidecar.id} {effective.mode.value}, {after:.3f} s after: {text}"
+                )
 
     def _verdict(self, acting: flat_rules.FlatRules, in_force: int) -> Verdict:
         key = (id(acting), in_force)
@@ -284,9 +290,9 @@
         path = text.partition(" ")[0]
         self.longest_violations[path] = max(self.longest_violations.get(path, 0.0), after)
 
-    def played(self) -> Judge:
+    def run_to_end(self) -> Judge:
         """The judgment at the end: all act on the latest version, or it is withdrawn."""
-        judge = super().played()
+        judge = super().run_to_end()
         last = self.steps[-1]
         manager = most_advanced_manager(self)
         rollout = manager.rollout if manager is not None else Rollout()
@@ -298,7 +304,7 @@
         ]
         unfinished = last.announced or rollout.next_to_announce() or last.in_force and behind
         if rollout.latest and unfinished:
-            judge.found(
+            judge.record_violation(
                 "settles",
                 f"phase {last.phase}, in force {last.in_force}, announced {last.announced}, "
                 f"latest {rollout.latest}, withdrawn {sorted(rollout.withdrawn)}, behind {behind[:4]}",
@@ -317,7 +323,7 @@
     """What one seed gave. `events`: the faults that struck, as lines."""
 
     seed: int
-    faults: list[Fault]
+    faults: list[Violation]
     events: list[str]
     acts: dict[str, int]
     versions: int
@@ -339,16 +345,16 @@
         }
 
 
-def played(plan: FleetRulesPlan, seed: int, broken: Broken | None = None) -> Result:
+def run_seed(plan: FleetRulesPlan, seed: int, broken: Broken | None = None) -> Result:
     """Plays one seed; each fourth has five coordinators."""
     plan = plan if seed % 4 else replace(plan, members=5)
     world = FleetRulesWorld(plan, seed, broken)
-    judge = world.play()
+    judge = world.run()
     manager = most_advanced_manager(world)
     return Result(
         seed,
-        judge.faults,
-        world.told,
+        judge.violations,
+        world.fault_log,
         world.act_counts,
         world.steps[-1].in_force,
         len(manager.rollout.withdrawn) if manager else 0,
--- a/foxspread/lab/processes/judge.py
+++ b/foxspread/lab/processes/judge.py
@@ -1,5 +1,7 @@
-"""What must hold of several coordinators, judged from messages, disks and writers. A rule that breaks is
-named with what was seen; the first few of a run are kept.
+"""The rules that must hold of several coordinators, checked on messages, disks and clients' operations.
+
+It trusts nothing that a coordinator says of itself: a rule that is violated is named with what was seen, and
+the first few of a run are kept.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +15,7 @@
     RequestVote,
     RequestVoteReply,
 )
-from foxspread.consensus.raft import RaftSettings, Role
+from foxspread.consensus.raft import RaftNode, RaftSettings, Role
 from foxspread.consensus.records import LogEntry
 from foxspread.consensus.versions import PutVersion, RequestIdReused, Version, VersionConflict, VersionWritten
 from foxspread.lab.processes import linear
@@ -41,166 +43,196 @@
 }
 
 
+MAX_VIOLATIONS = 5  # of a run, that are kept
+APPLIED_LAG_ENTRIES = 5  # by which a member may be behind at the end
+
+
 @dataclass
-class Fault:
+class Violation:
+    """A rule that does not hold, and what was seen."""
+
     rule: str
     text: str
 
 
 @dataclass
 class Judge:
+    """Checks the rules of one run as it goes, and once more at its end.
+
+    By term: `leaders`. By member and term: `votes`, as they left, and `received_votes`, as they arrived. By
+    index: `entries` as first applied, which is by the leader of the term in `terms`. By member:
+    `last_applied`, `last_led` (incarnation and term in which it was last checked as a leader),
+    `unheard_since` (of leaders that too few answer). By number of a version: `digests`, and `acknowledged` of
+    puts that were answered as done.
+    """
+
     settings: RaftSettings
-    faults: list[Fault] = field(default_factory=list)
-    leaders: dict[int, str] = field(default_factory=dict)  # by term
+    violations: list[Violation] = field(default_factory=list)
+    leaders: dict[int, str] = field(default_factory=dict)
     votes: dict[tuple[str, int], str] = field(default_factory=dict)
-    given: dict[tuple[str, int], set[str]] = field(default_factory=dict)  # votes that arrived
-    entries: dict[int, LogEntry] = field(default_factory=dict)  # as first applied, which is by the leader...
-    terms: dict[int, int] = field(default_factory=dict)  # ... of this term
-    last: dict[str, int] = field(default_factory=dict)  # what each has applied
-    seen: dict[str, tuple[int, int]] = field(default_factory=dict)  # of each: generation and term as leader
-    unheard: dict[str, float] = field(default_factory=dict)  # leaders that too few answer, since when
-    ops: list[Op] = field(default_factory=list)
-    contents: dict[int, str] = field(default_factory=dict)  # digests by number, as told to writers
+    received_votes: dict[tuple[str, int], set[str]] = field(default_factory=dict)
+    entries: dict[int, LogEntry] = field(default_factory=dict)
+    terms: dict[int, int] = field(default_factory=dict)
+    last_applied: dict[str, int] = field(default_factory=dict)
+    last_led: dict[str, tuple[int, int]] = field(default_factory=dict)
+    unheard_since: dict[str, float] = field(default_factory=dict)
+    operations: list[Op] = field(default_factory=list)
+    digests: dict[int, str] = field(default_factory=dict)
     requests: dict[str, int] = field(default_factory=dict)
-    done: dict[int, str] = field(default_factory=dict)  # of puts that were told as done
+    acknowledged: dict[int, str] = field(default_factory=dict)
 
-    def found(self, rule: str, text: str) -> None:
-        if len(self.faults) < 5:
-            self.faults.append(Fault(rule, text))
+    def record_violation(self, rule: str, text: str) -> None:
+        """Keeps a violation, unless there are many already."""
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(Violation(rule, text))
 
     # Messages
 
-    def posted(self, node: Any, envelope: Envelope) -> None:
+    def on_sent(self, node: Any, envelope: Envelope) -> None:
         """As a message leaves, with the sender's disk as it is by then."""
-        self.passed(envelope)
+        self.on_link(envelope)
         message, id, disk = envelope.message, envelope.sender, node.disk.saved
         if isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
             if disk.term < message.term or disk.term == message.term and disk.voted_for != envelope.recipient:
-                self.found(
+                self.record_violation(
                     "saved_first",
                     f"{id} votes in term {message.term}, its disk has {disk.term} {disk.voted_for!r}",
                 )
         elif isinstance(message, RequestVote) and not message.pre_vote and disk.term < message.term:
-            self.found("saved_first", f"{id} asks for votes in term {message.term}, its disk has {disk.term}")
+            self.record_violation(
+                "saved_first", f"{id} asks for votes in term {message.term}, its disk has {disk.term}"
+            )
         elif isinstance(message, AppendEntriesReply) and message.success:
             if (last := disk.snapshot.index + len(disk.entries)) < message.index:
-                self.found("saved_first", f"{id} has saved {message.index}, its disk reaches {last}")
+                self.record_violation(
+                    "saved_first", f"{id} has saved {message.index}, its disk reaches {last}"
+                )
 
-    def passed(self, envelope: Envelope) -> None:
+    def on_link(self, envelope: Envelope) -> None:
         """As a message is seen on a link."""
         message, id = envelope.message, envelope.sender
         if isinstance(message, (AppendEntries, InstallSnapshot)):
             if (other := self.leaders.setdefault(message.term, id)) != id:
-                self.found("one_leader", f"{id} and {other} lead term {message.term}")
+                self.record_violation("one_leader", f"{id} and {other} lead term {message.term}")
         elif isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
             if (other := self.votes.setdefault((id, message.term), envelope.recipient)) != envelope.recipient:
-                self.found(
+                self.record_violation(
                     "one_vote", f"{id} votes for {other} and {envelope.recipient} in term {message.term}"
                 )
 
-    def arrived(self, envelope: Envelope) -> None:
+    def on_received(self, envelope: Envelope) -> None:
+        """As a message reaches its recipient."""
         message = envelope.message
         if isinstance(message, RequestVoteReply) and message.vote_granted and not message.pre_vote:
-            self.given.setdefault((envelope.recipient, message.term), set()).add(envelope.sender)
+            self.received_votes.setdefault((envelope.recipient, message.term), set()).add(envelope.sender)
 
     # Members
 
-    def down(self, id: str) -> None:
-        self.seen.pop(id, None)
-        self.unheard.pop(id, None)
-        self.last.pop(id, None)
+    def on_down(self, id: str) -> None:
+        """A process ended: what it had in memory is gone."""
+        self.last_led.pop(id, None)
+        self.unheard_since.pop(id, None)
+        self.last_applied.pop(id, None)
 
-    def looked(self, node: Any) -> None:
+    def check_node(self, node: Any) -> None:
         """After each step of a member."""
         member = node.host.raft
-        if (
-            self.last.setdefault(node.id, member.snapshot.index)
-            == member.snapshot.index
-            == member.last_applied
-        ):
-            named = next(
-                (entry.members for entry in reversed(member.log.entries) if entry.members is not None),
-                member.snapshot.members,
-            )
-            if member.members != named:
-                self.found(
-                    "members", f"{node.id} acts on {sorted(member.members)}, its log names {sorted(named)}"
-                )
+        self._check_members(node, member)
         if member.role is not Role.LEADER:
-            self.unheard.pop(node.id, None)
+            self.unheard_since.pop(node.id, None)
             return
-        for other, row in member.progress.items():
-            twin = node.world.nodes[other]
-            disk, past = twin.disk.saved, twin.lost or twin.disk.saved.term != member.current_term
-            if not past and row.match_index > disk.snapshot.index + len(disk.entries):
-                self.found(
-                    "counted", f"{node.id} counts on {other} for {row.match_index}, its disk ends before"
-                )
-        if self.seen.get(node.id) != (node.run, member.current_term):
-            self.seen[node.id] = (node.run, member.current_term)
-            log = member.log
-            for index in range(log.base + 1, max(self.entries, default=0) + 1):
-                known = self.entries.get(index)
-                if (
-                    known is not None
-                    and self.terms[index] < member.current_term
-                    and (index > log.last_index or log.entry(index).term != known.term)
-                ):
-                    self.found(
-                        "leader_complete", f"{node.id} leads term {member.current_term} without entry {index}"
-                    )
-                    break
-            members = next(
-                (entry.members for entry in reversed(log.entries[:-1]) if entry.members is not None),
-                member.snapshot.members,
-            )
-            voters = {each for each, seat in members.items() if seat.voter}
-            given = self.given.get((node.id, member.current_term), set()) | {node.id}
-            if len(given & voters) * 2 <= len(voters):
-                self.found(
-                    "elected",
-                    f"{node.id} leads term {member.current_term} by {sorted(given)} of {sorted(voters)}",
-                )
-        now, voters = (
-            node.local(),
-            [each for each, seat in member.members.items() if seat.voter and each != node.id],
-        )
-        heard = sorted(
-            (member.progress[each].last_reply_at for each in voters if each in member.progress), reverse=True
-        )
+        self._check_match_indexes(node, member)
+        if self.last_led.get(node.id) != (node.incarnation, member.current_term):
+            self.last_led[node.id] = (node.incarnation, member.current_term)
+            self._check_leader_completeness(node, member)
+            self._check_election(node, member)
+        self._check_quorum_contact(node, member)
+
+    def _check_members(self, node: Any, member: RaftNode) -> None:
+        index = member.snapshot.index
+        if not self.last_applied.setdefault(node.id, index) == index == member.last_applied:
+            return
+        named = _members_named(member.log.entries, member.snapshot)
+        if member.members != named:
+            text = f"{node.id} acts on {sorted(member.members)}, its log names {sorted(named)}"
+            self.record_violation("members", text)
+
+    def _check_match_indexes(self, node: Any, member: RaftNode) -> None:
+        for other, progress in member.progress.items():
+            peer = node.world.nodes[other]
+            disk = peer.disk.saved
+            if peer.disk_lost_writes or disk.term != member.current_term:
+                continue
+            if progress.match_index > disk.snapshot.index + len(disk.entries):
+                text = f"{node.id} counts on {other} for {progress.match_index}, its disk ends before"
+                self.record_violation("counted", text)
+
+    def _check_leader_completeness(self, node: Any, member: RaftNode) -> None:
+        log, term = member.log, member.current_term
+        for index in range(log.base + 1, max(self.entries, default=0) + 1):
+            applied = self.entries.get(index)
+            if applied is None or self.terms[index] >= term:
+                continue
+            if index > log.last_index or log.entry(index).term != applied.term:
+                text = f"{node.id} leads term {term} without entry {index}"
+                return self.record_violation("leader_complete", text)
+
+    def _check_election(self, node: Any, member: RaftNode) -> None:
+        members = _members_named(member.log.entries[:-1], member.snapshot)
+        voters = {name for name, address in members.items() if address.voter}
+        votes = self.received_votes.get((node.id, member.current_term), set()) | {node.id}
+        if len(votes & voters) * 2 <= len(voters):
+            text = f"{node.id} leads term {member.current_term} by {sorted(votes)} of {sorted(voters)}"
+            self.record_violation("elected", text)
+
+    def _check_quorum_contact(self, node: Any, member: RaftNode) -> None:
+        """A change of members may leave a leader without a quorum at once: until its next heartbeat that is
+        no violation."""
+        now, progress = node.local(), member.progress
+        voters = [name for name, address in member.members.items() if address.voter and name != node.id]
+        replies = sorted((progress[name].last_reply_at for name in voters if name in progress), reverse=True)
         needed = (len(voters) + 1) // 2 if node.id in member.members else len(voters) // 2 + 1
-        if not (
-            needed and len(heard) >= needed and now - heard[needed - 1] > 2 * self.settings.election_timeout_s
-        ):
-            self.unheard.pop(node.id, None)  # a change of members may make it so at once, until its next beat
-        elif now - self.unheard.setdefault(node.id, now) > 3 * self.settings.heartbeat_interval_s:
-            self.found("steps_down", f"{node.id} leads unheard for {now - heard[needed - 1]:.3f} s")
-
-    def applied(self, node: Any, index: int, entry: LogEntry) -> None:
-        id, known = node.id, self.entries.setdefault(index, entry)
+        allowed_s = 2 * self.settings.election_timeout_s
+        if not (needed and len(replies) >= needed and now - replies[needed - 1] > allowed_s):
+            self.unheard_since.pop(node.id, None)
+            return
+        unheard_s = now - self.unheard_since.setdefault(node.id, now)
+        if unheard_s > 3 * self.settings.heartbeat_interval_s:
+            text = f"{node.id} leads unheard for {now - replies[needed - 1]:.3f} s"
+            self.record_violation("steps_down", text)
+
+    def on_applied(self, node: Any, index: int, entry: LogEntry) -> None:
+        """A member applies an entry."""
+        id, first = node.id, self.entries.setdefault(index, entry)
         self.terms.setdefault(index, node.host.raft.current_term if node.host else 0)
-        if index != self.last.get(id, index - 1) + 1:
-            self.found("in_order", f"{id} applies entry {index} after {self.last[id]}")
-        self.last[id] = index
-        if known != entry:
-            self.found(
-                "same_entry", f"{id} applies another entry at {index}: terms {entry.term} and {known.term}"
+        if index != self.last_applied.get(id, index - 1) + 1:
+            self.record_violation("in_order", f"{id} applies entry {index} after {self.last_applied[id]}")
+        self.last_applied[id] = index
+        if first != entry:
+            self.record_violation(
+                "same_entry", f"{id} applies another entry at {index}: terms {entry.term} and {first.term}"
             )
 
-    def restored(self, id: str, index: int) -> None:
-        if index <= self.last.get(id, -1):
-            self.found("in_order", f"{id} goes back to a snapshot at {index}, it had applied {self.last[id]}")
-        self.last[id] = index
+    def on_restored(self, id: str, index: int) -> None:
+        """A member restores its state from a snapshot."""
+        if index <= self.last_applied.get(id, -1):
+            self.record_violation(
+                "in_order", f"{id} goes back to a snapshot at {index}, it had applied {self.last_applied[id]}"
+            )
+        self.last_applied[id] = index
 
-    def lost(self, node: Any) -> None:
+    def check_lost_disk(self, node: Any) -> None:
         """Some seconds after a disk lost what it had shown, with all others well."""
-        if node.lost and node.host is not None and node.host.raft.role is not Role.BARRED:
-            self.found("lost_disk", f"{node.id} lost what it had shown, and is {node.host.raft.role.value}")
+        if node.disk_lost_writes and node.host is not None and node.host.raft.role is not Role.BARRED:
+            self.record_violation(
+                "lost_disk", f"{node.id} lost what it had shown, and is {node.host.raft.role.value}"
+            )
 
     # Writers
 
-    def operation(self, op: Op, value: Any, put: PutVersion) -> None:
-        self.ops.append(op)
+    def record_operation(self, operation: Op, value: Any, put: PutVersion) -> None:
+        """An operation of a writer, with what it was answered."""
+        self.operations.append(operation)
         version = (
             value.version
             if isinstance(value, (VersionWritten, RequestIdReused))
@@ -209,52 +241,54 @@
             else value
         )
         if isinstance(version, Version):
-            self.version(version)
+            self.check_version(version)
         if isinstance(value, RequestIdReused):
-            self.found("once", f"request {put.request} is said to have written another content")
+            self.record_violation("once", f"request {put.request} is said to have written another content")
         elif isinstance(value, VersionWritten):
-            self.done[version.number] = version.digest
+            self.acknowledged[version.number] = version.digest
             if version.request != put.request:
-                self.found("once", f"request {put.request} is told of {version.request}'s version")
+                self.record_violation("once", f"request {put.request} is told of {version.request}'s version")
 
-    def version(self, version: Version) -> None:
-        if self.contents.setdefault(version.number, version.digest) != version.digest:
-            self.found("once", f"version {version.number} has two contents")
+    def check_version(self, version: Version) -> None:
+        """A version that a client has seen."""
+        if self.digests.setdefault(version.number, version.digest) != version.digest:
+            self.record_violation("once", f"version {version.number} has two contents")
         if self.requests.setdefault(version.request, version.number) != version.number:
-            self.found(
+            self.record_violation(
                 "once",
                 f"request {version.request} gave versions {self.requests[version.request]} "
                 f"and {version.number}",
             )
 
-    def history(self, versions: list[Version]) -> None:
+    def check_history(self, versions: list[Version]) -> None:
         """The whole history, read by a client at the end."""
         for version in versions:
-            self.version(version)
+            self.check_version(version)
         final = {version.number: version.digest for version in versions}
-        for number, told in self.done.items():
-            if final.get(number) != told:
-                self.found("kept", f"version {number} was told as done, and is not in the history")
+        for number, content_digest in self.acknowledged.items():
+            if final.get(number) != content_digest:
+                self.record_violation("kept", f"version {number} was told as done, and is not in the history")
         try:
-            if fault := linear.fault(linear.settled(self.ops, final)):
-                self.found("linearizable", fault)
+            if violation := linear.violation(linear.with_outcomes(self.operations, final)):
+                self.record_violation("linearizable", violation)
         except linear.Undecided as error:
-            self.found("linearizable", f"undecided: {error}")
+            self.record_violation("linearizable", f"undecided: {error}")
 
     # The end
 
-    def ended(self, nodes: dict[str, Any]) -> None:
+    def check_end(self, nodes: dict[str, Any]) -> None:
+        """After some seconds in which nothing failed."""
         up = [node for node in nodes.values() if node.host is not None]
         for node in up:
-            self.lost(node)
-        logs = {node.id: node.disk.saved for node in nodes.values() if not node.lost}
+            self.check_lost_disk(node)
+        logs = {node.id: node.disk.saved for node in nodes.values() if not node.disk_lost_writes}
         ids = sorted(logs)
-        for at, one in enumerate(ids):
-            for other in ids[at + 1 :]:
-                self._matching(one, logs[one], other, logs[other])
+        for number, one in enumerate(ids):
+            for other in ids[number + 1 :]:
+                self._check_matching_logs(one, logs[one], other, logs[other])
         leaders = [node for node in up if node.host.raft.role is Role.LEADER]
         if len(leaders) != 1:
-            return self.found(
+            return self.record_violation(
                 "well",
                 f"{len(leaders)} lead at the end: "
                 f"{[(node.id, node.host.raft.role.value) for node in nodes.values() if node.host]}",
@@ -263,20 +297,20 @@
         for node in up:
             if (
                 node.id in host.raft.members
-                and not node.lost
+                and not node.disk_lost_writes
                 and node.host.raft.last_applied < host.raft.commit_index - 5
             ):
-                self.found(
+                self.record_violation(
                     "well", f"{node.id} has applied {node.host.raft.last_applied} of {host.raft.commit_index}"
                 )
             theirs, mine = node.host.versions, host.versions
             if theirs.latest != len(theirs.by_number) or any(
                 mine.by_number.get(number, version) != version for number, version in theirs.by_number.items()
             ):
-                self.found("same_state", f"{node.id} and {leaders[0].id} hold other versions")
-        self.history(list(host.versions.by_number.values()))
+                self.record_violation("same_state", f"{node.id} and {leaders[0].id} hold other versions")
+        self.check_history(list(host.versions.by_number.values()))
 
-    def _matching(self, one: str, first: Any, other: str, second: Any) -> None:
+    def _check_matching_logs(self, one: str, first: Any, other: str, second: Any) -> None:
         base = max(first.snapshot.index, second.snapshot.index)
         mine = {
             index: entry
@@ -294,4 +328,14 @@
         )
         for index in range(base + 1, same + 1):
             if mine[index] != theirs[index]:
-                return self.found("log_matching", f"{one} and {other} agree on {same}, and not on {index}")
+                return self.record_violation(
+                    "log_matching", f"{one} and {other} agree on {same}, and not on {index}"
+                )
+
+
+def _members_named(entries: list[LogEntry], snapshot: Any) -> Any:
+    """The members that the last entry with any names; without one, those of the snapshot."""
+    for entry in reversed(entries):
+        if entry.members is not None:
+            return entry.members
+    return snapshot.members
--- a/foxspread/lab/processes/linear.py
+++ b/foxspread/lab/processes/linear.py
@@ -1,6 +1,7 @@
-"""Is a history of puts and gets one that a single register of versions could have given? After J. M. Wing and
-C. Gong, "Testing and Verifying Concurrent Objects" (1993), with the states that were seen kept (G. Lowe,
-2017).
+"""Checks linearizability: could a single register of versions have given a history of puts and gets?
+
+After J. M. Wing and C. Gong, "Testing and Verifying Concurrent Objects" (1993), with the states that were
+seen kept (G. Lowe, 2017).
 
 An operation takes effect at one moment between its call and its answer; one without an answer at any moment
 after its call, or never. All contents of a history differ, so that a version's digest names its put.
@@ -39,13 +40,13 @@
     return number + 1, op.digest
 
 
-def fault(history: list[Op], budget: int = 2_000_000) -> str:
+def violation(history: list[Op], budget: int = 2_000_000) -> str:
     """ "" where the history is linearizable; otherwise how far it is. Raises `Undecided` beyond the budget of
     steps."""
     ops = sorted(history, key=lambda op: (op.called, op.answered))
     needed = sum(1 << at for at, op in enumerate(ops) if op.kind != "unknown")
     seen: set[tuple[int, State]] = set()
-    most, steps = 0, 0
+    longest, steps = 0, 0
     stack = [(0, (0, ""), iter(_next(ops, 0)))]  # what has taken effect, as bits; the state; what may be next
     if not needed:
         return ""
@@ -60,40 +61,42 @@
             if key[0] & needed == needed:
                 return ""
             seen.add(key)
-            most = max(most, key[0].bit_count())
+            longest = max(longest, key[0].bit_count())
             stack.append((*key, iter(_next(ops, key[0]))))
             break
         else:
             stack.pop()
         if steps > budget:
             raise Undecided(f"{steps} steps over {len(ops)} operations")
-    return f"at most {most} of {len(ops)} operations fit one order"
+    return f"at most {longest} of {len(ops)} operations fit one order"
 
 
 def _next(ops: list[Op], done: int) -> list[int]:
     """What may take effect next: called before the earliest answer that is still to be given."""
-    found, limit = [], NEVER
+    candidates, limit = [], NEVER
     for at in range((~done & (done + 1)).bit_length() - 1, len(ops)):
         if ops[at].called > limit:
             break
         if not done >> at & 1:
-            found.append(at)
+            candidates.append(at)
             limit = min(limit, ops[at].answered)
-    return found
+    return candidates
 
 
 class Undecided(Exception):
     """The history is too wide for the budget."""
 
 
-def settled(history: list[Op], final: dict[int, str]) -> list[Op]:
-    """The same history, where each put without an answer got the fate that the whole history of versions,
-    read at the end by a client, tells: written under a number, or never."""
+def with_outcomes(history: list[Op], final: dict[int, str]) -> list[Op]:
+    """The same history, where each put without an answer has the outcome that the complete history of
+    versions shows, as a client read it at the end: written under a number, or never."""
     numbers = {digest: number for number, digest in final.items()}
-    found = []
+    outcomes = []
     for op in history:
         if op.kind != "unknown":
-            found.append(op)
+            outcomes.append(op)
         elif op.digest in numbers:
-            found.append(Op(op.client, "put", op.called, NEVER, numbers[op.digest], op.digest, op.if_version))
-    return found
+            outcomes.append(
+                Op(op.client, "put", op.called, NEVER, numbers[op.digest], op.digest, op.if_version)
+            )
+    return outcomes
--- a/foxspread/lab/processes/mutants.py
+++ b/foxspread/lab/processes/mutants.py
@@ -1,5 +1,7 @@
-"""Broken coordinators. Each breaks one thing that the core, the disk or the versions must do, and is to be
-caught by the rule that stands beside it; the sound one breaks none.
+"""Mutants of the coordinator, which show that the rules of `judge` catch what they are for.
+
+Each breaks one thing that the node, the disk or the version store must do, and is to be caught by a rule that
+its entry in `MUTANTS` names; the sound coordinator breaks none.
 """
 
 from collections.abc import Iterator
@@ -17,14 +19,15 @@
     VersionWritten,
 )
 from foxspread.lab.processes import explorer, virtual
-from foxspread.lab.processes.virtual import LOSSY, Broken, Disk, Plan
+from foxspread.lab.processes.simulated_node import SimulatedDisk
+from foxspread.lab.processes.simulation_plan import LOSSY, Broken, Plan
 
 
 class VotesTwice(RaftNode):
     """Forgets at a restart whom it voted for."""
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self.voted_for = ""
 
 
@@ -35,15 +38,15 @@
         return True
 
 
-class ReadsUnasked(RaftNode):
-    """Answers reads without asking whether it still leads."""
+class SkipsReadConfirmation(RaftNode):
+    """Answers reads without confirming that it still leads."""
 
     def _is_confirmed(self, read: Any, majority_round: int) -> bool:
         return True
 
 
-class ReadsByOldRound(RaftNode):
-    """Takes answers to what it asked before the read for answers to it."""
+class AcceptsOldReplies(RaftNode):
+    """Confirms a read by replies to heartbeats that were sent before it."""
 
     def _assign_read_indexes(self) -> None:
         super()._assign_read_indexes()
@@ -68,8 +71,8 @@
             self.members, self.members_index = members, 0
 
 
-class TakesAnyDisk(RaftNode):
-    """Doesn't look whether a disk is what it was."""
+class AcceptsAnyDisk(RaftNode):
+    """Doesn't verify whether a disk is what it was."""
 
     def _verify_storage(self, sender: str, shown: StorageIdentity) -> bool:
         return True
@@ -82,7 +85,7 @@
         return True
 
 
-class CommitsByFew(RaftNode):
+class CommitsBelowQuorum(RaftNode):
     """Takes an entry as committed that one fewer than a majority has."""
 
     def _commit_quorum(self) -> int:
@@ -107,7 +110,7 @@
             self._persist(index + 1, [])
 
 
-class GoesBack(RaftNode):
+class RestoresOlderSnapshot(RaftNode):
     """Takes a snapshot that comes late, though it is further already."""
 
     def _handle_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
@@ -125,19 +128,21 @@
         super()._handle_install_snapshot(sender, message)
 
 
-class LyingDisk(Disk):
+class LyingDisk(SimulatedDisk):
     """Says that it has records before it has them: as an fsync that does nothing."""
 
     def put(self, node: Any, write: StorageWrite) -> None:
+        """Confirms the write at once."""
         super().put(node, write)
         node.world.clock.after(0.0, node.step, lambda host, now: host.confirmed(now, write.number))
 
 
-class TornDisk(Disk):
+class TornDisk(SimulatedDisk):
     """Loses the last record of a group, and says that it has all."""
 
     def apply(self, write: StorageWrite) -> None:
-        if len(self.waiting) < 2 or write is not self.waiting[-1]:
+        """Leaves the last write of a group out."""
+        if len(self.pending) < 2 or write is not self.pending[-1]:
             super().apply(write)
 
 
@@ -145,6 +150,7 @@
     """Writes a request that comes again as one that is new."""
 
     def put(self, put: PutVersion) -> VersionWritten | VersionConflict | RequestIdReused:
+        """Writes, whatever was written before under this request id."""
         self.by_request.clear()
         return super().put(put)
 
@@ -153,6 +159,7 @@
     """Loses the first version of a snapshot."""
 
     def restore(self, data: bytes) -> None:
+        """Restores all versions but the first."""
         super().restore(data)
         if len(self.by_number) > 1:
             self.by_number.pop(next(iter(self.by_number)))
@@ -162,41 +169,55 @@
     """Writes whatever version stands there."""
 
     def put(self, put: PutVersion) -> VersionWritten | VersionConflict | RequestIdReused:
+        """Writes without the condition."""
         return super().put(PutVersion(put.request, put.content, -1, put.who, put.why, put.at))
 
 
 @dataclass(frozen=True)
 class Mutant:
+    """A broken part, and how it is caught.
+
+    The first rule that a run violates must be one of `rules`. `plan` is for a mutant that the usual faults
+    catch too seldom. With `case`, all states of that case are explored in place of seeds.
+    """
+
     broken: Broken
-    rules: tuple[str, ...]  # the first of a run that breaks must be one of these
-    plan: dict[str, Any] = field(default_factory=dict)  # where the usual faults find it too seldom
-    case: str = ""  # found by looking at all states of this case, not by seeds
+    rules: tuple[str, ...]
+    plan: dict[str, Any] = field(default_factory=dict)
+    case: str = ""
 
 
 MUTANTS: dict[str, Mutant] = {
     "votes_twice": Mutant(Broken(VotesTwice), ("one_vote",), case="two_votes"),
     "counts_old_terms": Mutant(Broken(CountsOldTerms), ("leader_complete",), case="figure_8"),
-    "reads_unasked": Mutant(Broken(ReadsUnasked), ("linearizable",), {"faults": ("away",), "writers": 5}),
+    "reads_unasked": Mutant(
+        Broken(SkipsReadConfirmation), ("linearizable",), {"faults": ("away",), "writers": 5}
+    ),
     "reads_by_old_round": Mutant(
-        Broken(ReadsByOldRound), ("linearizable",), {"faults": ("away",), "writers": 5}
+        Broken(AcceptsOldReplies), ("linearizable",), {"faults": ("away",), "writers": 5}
     ),
     "sends_early": Mutant(Broken(SendsEarly), ("saved_first",)),
     "forgets_removal": Mutant(
         Broken(ForgetsRemoval), ("members",), {"faults": ("replace", "kill", "silent")}
     ),
-    "takes_any_disk": Mutant(Broken(TakesAnyDisk), ("lost_disk",), {"lossy": LOSSY}),
+    "takes_any_disk": Mutant(Broken(AcceptsAnyDisk), ("lost_disk",), {"lossy": LOSSY}),
     "elects_older": Mutant(
         Broken(ElectsOlder), ("leader_complete",), {"faults": ("silent", "kill", "split")}
     ),
     "commits_by_few": Mutant(
-        Broken(CommitsByFew), ("leader_complete", "same_entry"), {"faults": ("silent", "stall")}
+        Broken(CommitsBelowQuorum), ("leader_complete", "same_entry"), {"faults": ("silent", "stall")}
     ),
     "never_steps_down": Mutant(Broken(NeverStepsDown), ("steps_down",), {"faults": ("silent", "silent_in")}),
     "cuts_log": Mutant(Broken(CutsLog), ("counted",), {"faults": ("held", "repeat", "loss")}),
     "goes_back": Mutant(
-        Broken(GoesBack),
+        Broken(RestoresOlderSnapshot),
         ("in_order",),
-        {"faults": ("held", "repeat", "silent"), "long": 0.0, "compact_bytes": (1_000,), "pause": 0.05},
+        {
+            "faults": ("held", "repeat", "silent"),
+            "long_content_share": 0.0,
+            "compact_bytes": (1_000,),
+            "think_time": 0.05,
+        },
     ),
     "lying_disk": Mutant(Broken(disk=LyingDisk), ("saved_first",)),
     "torn_disk": Mutant(Broken(disk=TornDisk), ("saved_first", "log_matching")),
@@ -209,18 +230,19 @@
 
 
 def plan(mutant: Mutant, base: Plan = Plan()) -> Plan:
+    """The plan of a mutant's runs."""
     return replace(base, **({"lossy": ()} | mutant.plan))
 
 
 def caught(name: str, seeds: range, base: Plan = Plan()) -> Iterator[tuple[int, str, str]]:
-    """Seeds that catch it, with the first rule broken and what was seen; for a case, its shortest fault."""
+    """Seeds that catch it, with the first rule violated and what was seen; for a case, its shortest path."""
     mutant = MUTANTS[name]
     if mutant.case:
-        found = explorer.Explorer(explorer.CASES[mutant.case], mutant.broken.member).explore()
-        if found.fault:
-            yield 0, found.fault.partition(":")[0], found.fault
+        result = explorer.Explorer(explorer.CASES[mutant.case], mutant.broken.member).explore()
+        if result.violation:
+            yield 0, result.violation.partition(":")[0], result.violation
         return
     for seed in seeds:
-        judge = virtual.played(plan(mutant, base), seed, mutant.broken)
-        if judge.faults:
-            yield seed, judge.faults[0].rule, judge.faults[0].text
+        judge = virtual.run_seed(plan(mutant, base), seed, mutant.broken)
+        if judge.violations:
+            yield seed, judge.violations[0].rule, judge.violations[0].text
--- a/foxspread/lab/processes/real.py
+++ b/foxspread/lab/processes/real.py
@@ -98,7 +98,7 @@
                 told, value = self.outcome(kind, told, reply)
                 break
             if status == "refused" and reply.code == 409:
-                self.play.judge.found(
+                self.play.judge.record_violation(
                     "once", f"request {put.request} is said to have written another content"
                 )
             leader = reply.value.get("leader")
@@ -107,7 +107,7 @@
             )
             await asyncio.sleep(self.chance.uniform(0.01, 0.1))
         if kind != "get" or value is not None or told.kind == "get":
-            self.play.judge.operation(told, value, put)
+            self.play.judge.record_operation(told, value, put)
         self.play.counted(told.kind)
 
     async def call(self, kind: str, body: bytes, late: float) -> Reply:
@@ -143,7 +143,7 @@
     def __init__(self, scenario: Scenario, seed: int, mutant: str = "") -> None:
         self.scenario, self.seed = scenario, seed
         self.judge = Judge(RaftSettings(scenario.beat, scenario.election))
-        self.fleet = Fleet(scenario, seed, self.judge.passed, mutant)
+        self.fleet = Fleet(scenario, seed, self.judge.on_link, mutant)
         self.chance = self.fleet.rng("faults")
         self.over, self.begun = False, time.monotonic()
         self.befell: list[str] = []
@@ -289,7 +289,7 @@
                 break
             await asyncio.sleep(0.05)
         else:
-            self.judge.found("lost_disk", f"{name} lost what it had shown, and is {role}")
+            self.judge.record_violation("lost_disk", f"{name} lost what it had shown, and is {role}")
         await self.replace(name)
 
     async def draw(self) -> None:
@@ -346,7 +346,7 @@
         gaps = [0.0, *(each for each in self.done_at), self.scenario.seconds]
         return Played(
             self.seed,
-            [{"rule": each.rule, "text": each.text} for each in self.judge.faults],
+            [{"rule": each.rule, "text": each.text} for each in self.judge.violations],
             self.befell,
             self.counts,
             versions,
@@ -371,22 +371,24 @@
                 told = {
                     name: (row.get("role"), row.get("version"), row.get("why")) for name, row in rows.items()
                 }
-                self.judge.found("well", f"after {self.scenario.settle:g} s: {told}")
+                self.judge.record_violation("well", f"after {self.scenario.settle:g} s: {told}")
                 break
             await asyncio.sleep(0.05)
         for number, (name, child) in enumerate(self.fleet.children.items()):
             try:
                 history = await self.history(child)
             except ERRORS as error:
-                self.judge.found("well", f"{name} gives no history: {error}")
+                self.judge.record_violation("well", f"{name} gives no history: {error}")
                 continue
             if not number:
                 first = history
-                self.judge.history(history)
+                self.judge.check_history(history)
             elif [(each.number, each.digest, each.request) for each in history] != [
                 (each.number, each.digest, each.request) for each in first
             ]:
-                self.judge.found("same_state", f"{name} has another history than {self.fleet.names[0]}")
+                self.judge.record_violation(
+                    "same_state", f"{name} has another history than {self.fleet.names[0]}"
+                )
         return len(first)
 
     async def history(self, child: Child) -> list[Version]:
--- a/foxspread/lab/processes/scenario.py
+++ b/foxspread/lab/processes/scenario.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from foxspread.lab.processes import virtual
+from foxspread.consensus.raft import RaftSettings
+from foxspread.lab.processes import simulation_plan
 from foxspread.lab.processes.relay import LINK_FAULTS
 from foxspread.lab.scenario import ScenarioError, Strict
 
@@ -56,17 +57,17 @@
     drawn: Drawn = msgspec.field(default_factory=Drawn)
     faults: list[Fault] = []
 
-    def plan(self) -> virtual.Plan:
+    def plan(self) -> simulation_plan.Plan:
         """For virtual time, with those of the faults that there are there."""
         names = {"fsync_fails": "disk_fails", "disk_full": "disk_fails", "delay": "held", "term": "kill"}
         kinds = dict.fromkeys(names.get(each, each) for each in self.drawn.kinds)
-        return virtual.Plan(
+        return simulation_plan.Plan(
             members=self.members,
-            settle=self.settle,
+            recovery_seconds=self.settle,
             writers=self.writers.count,
-            faults=tuple(each for each in kinds if each in virtual.FAULTS),
+            faults=tuple(each for each in kinds if each in simulation_plan.FAULTS),
             lossy=tuple(self.drawn.lossy),
-            settings=virtual.RaftSettings(self.beat, self.election),
+            settings=RaftSettings(self.beat, self.election),
         )
 
 
--- a/foxspread/lab/processes/simulated_sidecar.py
+++ b/foxspread/lab/processes/simulated_sidecar.py
@@ -25,7 +25,7 @@
         self.process, self.kind, self.request, self.target = process, kind, request, target
         self.run = process.run
 
-    def told(self, _: int, answer: Answer) -> None:
+    def on_answer(self, _: int, answer: Answer) -> None:
         """Called by the world with what a coordinator answers."""
         if self.run == self.process.run:
             self.process.input(lambda: self.process.on_answer(self, answer))
@@ -114,9 +114,9 @@
         """Calls the coordinator that `reply` names, unless the message is lost."""
         world = self.world
         token = world.token(reply, 0)
-        if not world.cut.get((self.id, reply.target)) and world.chance.random() >= world.loss:
+        if not world.network.is_blocked(self.id, reply.target) and not world.network.loses():
             node = world.nodes[reply.target]
-            world.clock.after(world.delay(), node.step, lambda host, now: call(host, now, token))
+            world.clock.after(world.network.delay(), node.step, lambda host, now: call(host, now, token))
 
 
 class SimulatedSidecar(SimulatedProcess):
@@ -196,10 +196,10 @@
         for number in self.holder.missing_versions():
             target = self.chance.choice(world.ids)
             reply = Reply(self, "fetch", None, target)
-            cut = world.cut.get((self.id, target)) or world.cut.get((target, self.id))
-            if cut or world.chance.random() < world.loss:
+            cut = world.network.is_blocked(self.id, target) or world.network.is_blocked(target, self.id)
+            if cut or world.network.loses():
                 continue
-            world.clock.after(2 * world.delay(), self._fetched, reply, number)
+            world.clock.after(2 * world.network.delay(), self._fetched, reply, number)
 
     def _fetched(self, reply: Reply, number: int) -> None:
         host = self.world.nodes[reply.target].host
--- a/foxspread/lab/processes/singleton_instance.py
+++ b/foxspread/lab/processes/singleton_instance.py
@@ -52,7 +52,9 @@
         world, target = self.world, self.world.chance.choice(self.world.ids)
         token = world.token(TokenQuery(self, self.query_number), 0)
         node = world.nodes[target]
-        world.clock.after(world.delay(), node.step, lambda host, now: host.request_roles(now, token, None))
+        world.clock.after(
+            world.network.delay(), node.step, lambda host, now: host.request_roles(now, token, None)
+        )
         world.clock.after(LEARN_RETRY_SECONDS, self.learn)
 
     def on_order(self, role: str, token: int, shown: int) -> None:
@@ -63,7 +65,9 @@
         self.world.counts["obeyed"] += 1
         highest = self.obeyed.get(role, 0)
         if token < highest:
-            self.world.judge.found("fenced", f"{self.id} obeys token {token} of {role} after {highest}")
+            self.world.judge.record_violation(
+                "fenced", f"{self.id} obeys token {token} of {role} after {highest}"
+            )
         self.obeyed[role] = max(token, highest)
 
 
@@ -74,7 +78,7 @@
     receiver: Receiver
     number: int
 
-    def told(self, _: int, answer: Answer) -> None:
+    def on_answer(self, _: int, answer: Answer) -> None:
         """Called by the world with what a coordinator answers."""
         guard = self.receiver.guard
         late = self.number != self.receiver.query_number or guard.highest_tokens is not None
@@ -91,7 +95,7 @@
         super().__init__(process, "write", target=target)
         self.command, self.then = command, then
 
-    def told(self, _: int, answer: Answer) -> None:
+    def on_answer(self, _: int, answer: Answer) -> None:
         """Called by the world with what a coordinator answers."""
         if self.run != self.process.run:
             return
@@ -180,9 +184,9 @@
         world.acted(self, role, token)
         receiver = self.chance.choice(world.receivers)
         shown = int(self.local() * 1000) if world.broken.by_clock else token
-        if world.chance.random() >= world.loss:
+        if not world.network.loses():
             late = world.chance.uniform(0.5, 4.0) if world.chance.random() < world.plan.late_share else 0.0
-            world.clock.after(world.delay() + late, receiver.on_order, role, token, shown)
+            world.clock.after(world.network.delay() + late, receiver.on_order, role, token, shown)
 
     # Irreversible effects
 
--- a/foxspread/lab/processes/singleton_mutants.py
+++ b/foxspread/lab/processes/singleton_mutants.py
@@ -80,7 +80,7 @@
     plan: dict[str, Any] = field(default_factory=dict)
 
 
-BUSY = {"instances": 3, "acts": 12.0, "late_share": 0.2, "receivers": 2, "most": 30}
+BUSY = {"instances": 3, "acts": 12.0, "late_share": 0.2, "receivers": 2, "max_faults": 30}
 PROCESS_FAULTS = ("car_stall", "car_silent", "car_out", "car_in", "cars_cut")
 MUTANTS: dict[str, Mutant] = {
     "unguarded": Mutant(Broken(guard=Unguarded), ("fenced",), {"faults": PROCESS_FAULTS}),
@@ -96,7 +96,7 @@
     "no_pause": Mutant(Broken(manager=NoDelay), ("one_acts",), {"faults": PROCESS_FAULTS}),
     "checks_early": Mutant(Broken(holder=ChecksEarly), ("one_acts",), {"faults": PROCESS_FAULTS}),
     "from_answer": Mutant(
-        Broken(holder=FromAnswer), ("one_acts",), {"faults": ("held", *PROCESS_FAULTS), "most": 16}
+        Broken(holder=FromAnswer), ("one_acts",), {"faults": ("held", *PROCESS_FAULTS), "max_faults": 16}
     ),
     "takes_back": Mutant(Broken(holder=ForgetsRelease), ("one_acts",), {"faults": ("held", "wish"), **BUSY}),
     "unverified": Mutant(
@@ -107,18 +107,18 @@
 }
 
 
-def played(plan: SingletonPlan, seed: int, mutant: str) -> Result:
+def run_seed(plan: SingletonPlan, seed: int, mutant: str) -> Result:
     """One seed with a broken part; empty: the sound ones."""
     if not mutant:
-        return singleton_simulation.played(plan, seed)
+        return singleton_simulation.run_seed(plan, seed)
     mutant_kind = MUTANTS[mutant]
-    return singleton_simulation.played(replace(plan, **mutant_kind.plan), seed, mutant_kind.broken)
+    return singleton_simulation.run_seed(replace(plan, **mutant_kind.plan), seed, mutant_kind.broken)
 
 
 def caught(name: str, seeds: range, base: SingletonPlan = SingletonPlan()) -> Result | None:
     """The first run that breaks one of its invariants."""
     for seed in seeds:
-        result = played(base, seed, name)
+        result = run_seed(base, seed, name)
         if any(fault.rule in MUTANTS[name].rules for fault in result.faults):
             return result
     return None
--- a/foxspread/lab/processes/singleton_simulation.py
+++ b/foxspread/lab/processes/singleton_simulation.py
@@ -11,11 +11,11 @@
 
 from foxspread.consensus.coordinator import Answer
 from foxspread.fleet_rules.rollout import LeaseTerms
-from foxspread.lab.processes import virtual
+from foxspread.lab.processes import simulation_plan
 from foxspread.lab.processes.fleet_rules_simulation import NODE_FAULTS, SIDECAR_FAULTS, ProcessWorld
-from foxspread.lab.processes.judge import Fault, Judge
+from foxspread.lab.processes.judge import Judge, Violation
 from foxspread.lab.processes.singleton_instance import PAY, ROLES, Instance, Receiver, TokenQuery
-from foxspread.lab.processes.virtual import Node
+from foxspread.lab.processes.simulated_node import SimulatedNode
 from foxspread.singleton.fencing import FencingGuard
 from foxspread.singleton.lease_holder import RoleLeaseHolder
 from foxspread.singleton.lease_manager import RoleLeaseManager
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class SingletonPlan(virtual.Plan):
+class SingletonPlan(simulation_plan.Plan):
     """`acts`: a second and instance. `late_share`: of orders, those that are seconds on their way.
     `sleep_share`: of acts, those that come late after their decision or their intent."""
 
@@ -48,14 +48,14 @@
     terms: LeaseTerms = LeaseTerms(lease=1.5, alone=4.0)
     writers: int = 0
     seconds: float = 14.0
-    settle: float = 12.0
+    recovery_seconds: float = 12.0
     faults: tuple[str, ...] = NODE_FAULTS + SIDECAR_FAULTS + OTHER_FAULTS
     lossy: tuple[str, ...] = ()
-    most: int = 12
+    max_faults: int = 12
 
 
 @dataclass
-class Broken(virtual.Broken):
+class Broken(simulation_plan.Broken):
     """Parts in place of the sound ones."""
 
     holder: type[RoleLeaseHolder] = RoleLeaseHolder
@@ -76,18 +76,18 @@
 class ObservedManager(RoleLeaseManager):
     """Reports to the world and the judge what is applied."""
 
-    def __init__(self, node: Node, *arguments: Any) -> None:
+    def __init__(self, node: SimulatedNode, *arguments: Any) -> None:
         self.node_type, self.node = node.world.broken.member, node
         self.min_compaction_bytes = node.world.compact_bytes
         super().__init__(*arguments, terms=node.world.plan.terms)
 
     def _applied(self, index: int, entry: Any) -> None:
-        self.node.world.judge.applied(self.node, index, entry)
+        self.node.world.judge.on_applied(self.node, index, entry)
         super()._applied(index, entry)
         self.node.world.on_applied(self.table)
 
     def _restored(self, snapshot: Any) -> None:
-        self.node.world.judge.restored(self.node.id, snapshot.index)
+        self.node.world.judge.on_restored(self.node.id, snapshot.index)
         super()._restored(snapshot)
 
 
@@ -116,11 +116,11 @@
         self.handovers: list[float] = []
         self.last_acts: dict[str, float] = {}
 
-    def answer(self, node: Node, answer: Answer) -> None:
+    def answer(self, node: SimulatedNode, answer: Answer) -> None:
         """An answer on its way; those to receivers are never lost."""
         reply = self.tokens.get(answer.token, (None, 0))[0]
         if isinstance(reply, TokenQuery):
-            self.clock.after(self.delay(), reply.told, 0, answer)
+            self.clock.after(self.network.delay(), reply.on_answer, 0, answer)
         else:
             super().answer(node, answer)
 
@@ -131,11 +131,13 @@
             known = self.assignments.get(name, Assignment())
             if role.token > known.token:
                 if role.token != known.token + 1:
-                    self.judge.found("rising", f"{name} goes from token {known.token} to {role.token}")
+                    self.judge.record_violation(
+                        "rising", f"{name} goes from token {known.token} to {role.token}"
+                    )
                 self.assignments[name] = Assignment(role.token, role.holder)
             elif role.token == known.token and role.holder and role.holder != known.holder:
                 text = f"token {known.token} of {name} is {known.holder}'s and {role.holder}'s"
-                self.judge.found("rising", text)
+                self.judge.record_violation("rising", text)
 
     def acted(self, instance: Instance, role: str, token: int) -> None:
         """Judges an act at this moment."""
@@ -143,7 +145,9 @@
         latest = self.highest_tokens.get(role, 0)
         if token < latest:
             holder = instance.holder.holder_id
-            self.judge.found("one_acts", f"{holder} acts for {role} by token {token} after {latest}")
+            self.judge.record_violation(
+                "one_acts", f"{holder} acts for {role} by token {token} after {latest}"
+            )
         elif token > latest:
             if role in self.last_acts:
                 self.handovers.append(self.now - self.last_acts[role])
@@ -163,28 +167,28 @@
         self.counts["effects"] += 1
         self.effects[intent_id] = self.effects.get(intent_id, 0) + 1
         if self.effects[intent_id] > 1:
-            self.judge.found("once", f"{intent_id} came {self.effects[intent_id]} times")
+            self.judge.record_violation("once", f"{intent_id} came {self.effects[intent_id]} times")
         if intent_id not in self.intended:
-            self.judge.found("intended", f"{intent_id} came before its intent")
+            self.judge.record_violation("intended", f"{intent_id} came before its intent")
 
-    def befalls(self, kind: str, lasts: float, of: str = "") -> None:
+    def inject_fault(self, kind: str, lasts: float, target: str = "") -> None:
         """A fault strikes; of receivers, or a person moves a role."""
         if kind not in OTHER_FAULTS:
-            return super().befalls(kind, lasts, of)
+            return super().inject_fault(kind, lasts, target)
         if kind == "wish":
             instance = self.chance.choice(list(self.processes.values()))
             role = self.chance.choice(ROLES)
-            self.told.append(f"{self.now:.3f} wish {role} {instance.id}")
+            self.log_fault(f"wish {role} {instance.id}")
             if not instance.down:
                 instance.write(PreferHolder(role, instance.holder.holder_id))
             return None
         receiver = self.chance.choice(self.receivers)
-        self.told.append(f"{self.now:.3f} {kind} {receiver.id}")
+        self.log_fault(f"{kind} {receiver.id}")
         receiver.restart(kind == "receiver_wiped")
 
-    def played(self) -> Judge:
+    def run_to_end(self) -> Judge:
         """The judgment at the end: each role has one holder, which acts."""
-        judge = super().played()
+        judge = super().run_to_end()
         for role in ROLES:
             able = [
                 instance.holder.holder_id
@@ -192,7 +196,9 @@
                 if instance.holder.fencing_token(instance.local(), role)
             ]
             if len(able) > 1 or self.now - self.last_acts.get(role, 0.0) > MAX_REST_SECONDS:
-                judge.found("rest", f"{role} is owned by {able}, last act {self.last_acts.get(role)}")
+                judge.record_violation(
+                    "rest", f"{role} is owned by {able}, last act {self.last_acts.get(role)}"
+                )
         return judge
 
 
@@ -201,7 +207,7 @@
     """What one seed gave. `events`: the faults that struck, as lines."""
 
     seed: int
-    faults: list[Fault]
+    faults: list[Violation]
     events: list[str]
     counts: dict[str, int]
     handovers: list[float] = field(default_factory=list)
@@ -217,9 +223,9 @@
         }
 
 
-def played(plan: SingletonPlan, seed: int, broken: Broken | None = None) -> Result:
+def run_seed(plan: SingletonPlan, seed: int, broken: Broken | None = None) -> Result:
     """Plays one seed; each fourth has five coordinators."""
     plan = plan if seed % 4 else replace(plan, members=5)
     world = SingletonWorld(plan, seed, broken)
-    judge = world.play()
-    return Result(seed, judge.faults, world.told, world.counts, world.handovers)
+    judge = world.run()
+    return Result(seed, judge.violations, world.fault_log, world.counts, world.handovers)
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -32,7 +32,7 @@
                 await test(self, play)
                 await wait_until_converged(play)
                 await play.ended()
-            self.assertEqual(play.judge.faults, [])
+            self.assertEqual(play.judge.violations, [])
 
         asyncio.run(asyncio.wait_for(main(), 60))
 
--- a/tests/consensus/test_simulated_faults.py
+++ b/tests/consensus/test_simulated_faults.py
@@ -4,9 +4,10 @@
 from dataclasses import replace
 
 from foxspread.consensus.raft import Role
-from foxspread.lab.processes.virtual import Plan, World
+from foxspread.lab.processes.simulation_plan import Plan
+from foxspread.lab.processes.virtual import World
 
-PLAN = Plan(seconds=7.0, settle=4.0)
+PLAN = Plan(seconds=7.0, recovery_seconds=4.0)
 LONG = replace(PLAN, seconds=14.0)
 SCRIPTS = {
     "a leader that is stopped for ten seconds wakes and answers": (LONG, [(2.0, "stall", 10.0, "leader")]),
@@ -52,9 +53,9 @@
         for name, (plan, script) in SCRIPTS.items():
             for seed in range(3):
                 with self.subTest(name, seed=seed):
-                    judge = World(plan, seed).follow(script)
-                    self.assertEqual(judge.faults, [])
-                    self.assertGreater(len(judge.done), 5)
+                    judge = World(plan, seed).run_script(script)
+                    self.assertEqual(judge.violations, [])
+                    self.assertGreater(len(judge.acknowledged), 5)
 
     def test_a_partitioned_follower_raises_no_terms(self) -> None:
         for kind in ("silent_out", "silent_in", "silent"):
@@ -65,12 +66,12 @@
                     world.clock.after(
                         at, lambda: terms.append(max(n.host.raft.current_term for n in world.nodes.values()))
                     )
-                judge = world.follow([(2.0, kind, 4.5, "follower")])
-                self.assertEqual((judge.faults, terms[1] - terms[0]), ([], 0))
+                judge = world.run_script([(2.0, kind, 4.5, "follower")])
+                self.assertEqual((judge.violations, terms[1] - terms[0]), ([], 0))
 
     def test_a_member_added_while_nobody_writes_becomes_a_voter(self) -> None:
         world = World(replace(PLAN, writers=0), 4)
-        world.follow([(2.0, "replace", 0.0, "c2")])
+        world.run_script([(2.0, "replace", 0.0, "c2")])
         members = {node.host.raft.members["c2"] for node in world.nodes.values()}
         self.assertEqual([(member.voter, member.added_at > 0) for member in members], [(True, True)])
 
@@ -85,9 +86,9 @@
 
         world.clock.after(2.0, remove)
         world.clock.after(2.4, remove)  # where it has just been elected, it refuses the first
-        judge = world.follow([])
+        judge = world.run_script([])
         terms = {node.host.raft.current_term for node in world.nodes.values()}
-        self.assertEqual([fault.rule for fault in judge.faults], [])
+        self.assertEqual([fault.rule for fault in judge.violations], [])
         self.assertEqual((len(terms), removed.host.raft.role), (1, Role.BARRED))
         self.assertIn("was removed", removed.host.raft.barred_reason)
 
@@ -99,6 +100,6 @@
             world, found = World(PLAN, 3), []
             with self.subTest(kind):
                 world.clock.after(at, lambda: found.append(world.nodes["c2"].host))
-                judge = world.follow([(2.0, kind, 0.0, "c2")])
-                self.assertEqual(judge.faults, [])
+                judge = world.run_script([(2.0, kind, 0.0, "c2")])
+                self.assertEqual(judge.violations, [])
                 self.assertIn(text, found[0].raft.barred_reason)
--- a/tests/fleet_rules/test_simulation.py
+++ b/tests/fleet_rules/test_simulation.py
@@ -14,7 +14,7 @@
 class Sound(unittest.TestCase):
     def test_seeds(self) -> None:
         for seed in range(1, 7):
-            result = fleet_rules_simulation.played(SMALL, seed)
+            result = fleet_rules_simulation.run_seed(SMALL, seed)
             self.assertEqual((seed, result.faults), (seed, []))
             self.assertGreater(result.acts["settled"], 100)
             self.assertGreater(result.versions, 0)
@@ -46,17 +46,18 @@
                 world = FleetRulesWorld(SMALL, 3)
                 for process in world.processes.values():
                     process.start()
-                judge = world.follow(script)
-                self.assertEqual(judge.faults, [])
+                judge = world.run_script(script)
+                self.assertEqual(judge.violations, [])
                 self.assertGreater(world.steps[-1].in_force, 1)
 
     def test_two_hundred_sidecars_and_every_link_at_a_fifth_of_loss(self) -> None:
         world = FleetRulesWorld(replace(SMALL, sidecars=200), 5)
-        world.loss = 0.2  # of all that passes between coordinators, and to and from sidecars
+        # Of all that passes between coordinators, and to and from sidecars.
+        world.network.fault_rates["loss"] = 0.2
         for process in world.processes.values():
             process.start()
-        judge = world.follow([])
-        self.assertEqual(judge.faults, [])
+        judge = world.run_script([])
+        self.assertEqual(judge.violations, [])
         self.assertGreater(world.steps[-1].in_force, 2)
         self.assertGreater(world.act_counts["settled"], 2000)
 
--- a/tests/lab/processes/test_linear.py
+++ b/tests/lab/processes/test_linear.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from foxspread.lab.processes.linear import NEVER, Op, Undecided, fault, settled
+from foxspread.lab.processes.linear import NEVER, Op, Undecided, violation, with_outcomes
 
 
 def put(called: float, answered: float, number: int, if_version: int = -1) -> Op:
@@ -63,10 +63,10 @@
     def test_right_and_wrong(self) -> None:
         for name, history in RIGHT.items():
             with self.subTest(name):
-                self.assertEqual(fault(history), "")
+                self.assertEqual(violation(history), "")
         for name, history in WRONG.items():
             with self.subTest(name):
-                self.assertIn("fit one order", fault(history))
+                self.assertIn("fit one order", violation(history))
 
     def test_drawn_histories(self) -> None:
         """Drawn from a real register, with answers that are lost; then one answer in each is made wrong."""
@@ -82,15 +82,15 @@
                     )
                 else:
                     history.append(get(begin, end, number))
-            self.assertEqual(fault(history), "")
+            self.assertEqual(violation(history), "")
             late = max((op for op in history if op.kind == "get" and op.number), key=lambda op: op.called)
             stale = [get(late.answered + 10, late.answered + 11, late.number - 1)]
-            self.assertNotEqual(fault(history + stale), "")
+            self.assertNotEqual(violation(history + stale), "")
 
     def test_fates_are_read_from_the_end(self) -> None:
-        history = settled([lost(0, "d1"), lost(0, "x"), get(5, 6, 1)], {1: "d1"})
+        history = with_outcomes([lost(0, "d1"), lost(0, "x"), get(5, 6, 1)], {1: "d1"})
         self.assertEqual([(op.kind, op.digest) for op in history], [("put", "d1"), ("get", "d1")])
 
     def test_too_wide(self) -> None:
         with self.assertRaises(Undecided):
-            fault([lost(0, f"x{at}") for at in range(30)] + [get(1, 2, 1, "y")], budget=1000)
+            violation([lost(0, f"x{at}") for at in range(30)] + [get(1, 2, 1, "y")], budget=1000)
--- a/tests/lab/processes/test_mutants.py
+++ b/tests/lab/processes/test_mutants.py
@@ -4,7 +4,8 @@
 from foxspread.consensus.raft import RaftNode
 from foxspread.lab.processes import explorer, mutants, virtual
 from foxspread.lab.processes.judge import RULES
-from foxspread.lab.processes.virtual import Plan, World
+from foxspread.lab.processes.simulation_plan import Plan
+from foxspread.lab.processes.virtual import World
 
 RARE = (
     "reads_by_old_round",
@@ -14,20 +15,22 @@
 class Sound(unittest.TestCase):
     def test_seeds(self) -> None:
         for seed in range(45):
-            judge = virtual.played(Plan(members=3 if seed % 3 else 5), seed)
-            self.assertEqual((seed, judge.faults), (seed, []))
-            self.assertGreater(len(judge.done), 10)
+            judge = virtual.run_seed(Plan(members=3 if seed % 3 else 5), seed)
+            self.assertEqual((seed, judge.violations), (seed, []))
+            self.assertGreater(len(judge.acknowledged), 10)
 
     def test_a_seed_replays(self) -> None:
         first, second = World(Plan(), 7), World(Plan(), 7)
-        self.assertEqual(first.play().ops, second.play().ops)
-        self.assertEqual(first.told, second.told)
+        self.assertEqual(first.run().operations, second.run().operations)
+        self.assertEqual(first.fault_log, second.fault_log)
 
     def test_all_states(self) -> None:
-        for case, whole, states in (("two_votes", True, 3000), ("one_crash", False, 5_000)):
-            found = explorer.Explorer(replace(explorer.CASES[case], depth=7 if not whole else 30)).explore()
-            self.assertEqual((found.fault, found.whole), ("", whole))
-            self.assertGreater(found.states, states)
+        for case, complete, states in (("two_votes", True, 3000), ("one_crash", False, 5_000)):
+            result = explorer.Explorer(
+                replace(explorer.CASES[case], depth=7 if not complete else 30)
+            ).explore()
+            self.assertEqual((result.violation, result.complete), ("", complete))
+            self.assertGreater(result.states, states)
 
 
 class Mutants(unittest.TestCase):
@@ -44,5 +47,5 @@
         for name, mutant in mutants.MUTANTS.items():
             for seed in range(2):
                 with self.subTest(name, seed=seed):
-                    self.assertEqual(virtual.played(mutants.plan(mutant), seed).faults, [])
-        self.assertEqual(explorer.Explorer(explorer.CASES["two_votes"], RaftNode).explore().fault, "")
+                    self.assertEqual(virtual.run_seed(mutants.plan(mutant), seed).violations, [])
+        self.assertEqual(explorer.Explorer(explorer.CASES["two_votes"], RaftNode).explore().violation, "")
--- a/tests/singleton/test_singleton.py
+++ b/tests/singleton/test_singleton.py
@@ -146,8 +146,8 @@
 class Virtual(unittest.TestCase):
     def test_seeds(self) -> None:
         for seed in range(1, 7):
-            result = singleton_simulation.played(
-                singleton_simulation.SingletonPlan(seconds=10.0, settle=9.0), seed
+            result = singleton_simulation.run_seed(
+                singleton_simulation.SingletonPlan(seconds=10.0, recovery_seconds=9.0), seed
             )
             self.assertEqual((seed, result.faults), (seed, []))
             self.assertGreater(result.counts["obeyed"], 50)
