--- a/bench/agreed.py
+++ b/bench/agreed.py
@@ -29,8 +29,8 @@
 from foxspread.fleet_rules.lease_holder import LeaseHolder, Mode  # noqa: E402
 from foxspread.fleet_rules.version_content import parse_version  # noqa: E402
 from foxspread.lab.processes import end_to_end  # noqa: E402
-from foxspread.lab.processes.fleet import Fleet, processor, resident  # noqa: E402
-from foxspread.lab.processes.real import ERRORS  # noqa: E402
+from foxspread.lab.processes.fleet import Fleet, processor_s, resident_mb  # noqa: E402
+from foxspread.lab.processes.fleet_operator import ERRORS  # noqa: E402
 from foxspread.lab.processes.scenario import Scenario  # noqa: E402
 from foxspread.logic import Balancer  # noqa: E402
 from foxspread.model import Category, ListedServer, Outcome  # noqa: E402
@@ -184,15 +184,15 @@
     async with fleet(count, spread=10.0) as (found, client, group):
         await group.until(2, 60)
         await asyncio.sleep(5)
-        before, begun = [processor(pid) for pid in found.pids()], time.monotonic()
+        before, begun = [processor_s(pid) for pid in found.pids()], time.monotonic()
         asks = sum(row["asks"] for row in group.last.values())
         await asyncio.sleep(seconds)
         took = time.monotonic() - begun
-        shares = [(processor(pid) - at) / took for pid, at in zip(found.pids(), before)]
+        shares = [(processor_s(pid) - at) / took for pid, at in zip(found.pids(), before)]
         rate = (sum(row["asks"] for row in group.last.values()) - asks) / took
         print(f"{count} clients on 3 coordinators, lease 10 s: {rate:.0f} asks a second; cores "
               + ", ".join(f"{each:.3f}" for each in shares)
-              + "; MB " + ", ".join(f"{resident(pid):.0f}" for pid in found.pids()))  # fmt: skip
+              + "; MB " + ", ".join(f"{resident_mb(pid):.0f}" for pid in found.pids()))  # fmt: skip
 
 
 async def back(count: int, members: int) -> None:
@@ -274,9 +274,9 @@
         return done
 
     async def round(self, seconds: float, clients: int, every: float) -> None:
-        before, until = processor(self.process.pid), time.monotonic() + seconds
+        before, until = processor_s(self.process.pid), time.monotonic() + seconds
         done = sum(await asyncio.gather(*(self.client(until, every) for _ in range(clients))))
-        self.cores.append((processor(self.process.pid) - before) / max(1, done))
+        self.cores.append((processor_s(self.process.pid) - before) / max(1, done))
 
 
 async def sidecar(rounds: int, seconds: float) -> None:
@@ -301,7 +301,7 @@
             for name, each in zip(("off", "on"), both):
                 cost = 1e6 * statistics.median(each.cores)
                 print(f"{name}: {len(each.took)} lookups; {cost:.0f} us of a core each; "
-                      f"{shown(each.took)}; {resident(each.process.pid):.1f} MB")  # fmt: skip
+                      f"{shown(each.took)}; {resident_mb(each.process.pid):.1f} MB")  # fmt: skip
             ratios = [on / off for on, off in zip(both[1].cores, both[0].cores)]
             print(f"CPU a lookup, on against off, {rounds} rounds: median {statistics.median(ratios):.3f}, "
                   f"{min(ratios):.3f} to {max(ratios):.3f}")  # fmt: skip
--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -21,8 +21,9 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parents[1]))
 
 from foxspread.consensus.client import call
-from foxspread.lab.processes.fleet import Child, Fleet, processor, resident
-from foxspread.lab.processes.real import CONTENT, ERRORS, Play
+from foxspread.lab.processes.fleet import Child, Fleet, processor_s, resident_mb
+from foxspread.lab.processes.fleet_operator import ERRORS, FleetOperator
+from foxspread.lab.processes.process_writer import CONTENT
 from foxspread.lab.processes.scenario import Scenario
 from foxspread.net import http
 
@@ -41,9 +42,8 @@
 
 async def leader_of(fleet: Fleet) -> Child:
     """Return the member that leads, once there is one."""
-    play = Play.__new__(Play)
-    play.fleet = fleet
-    while not (name := await play.leader()):
+    operator = FleetOperator(fleet, fleet.rng("bench"))
+    while not (name := await operator.leader()):
         await asyncio.sleep(0.02)
     return fleet.children[name]
 
@@ -87,9 +87,9 @@
             if kind == "kill":
                 await child.end()
             elif kind == "stall":
-                child.stop()
+                child.suspend()
             else:
-                for relay in fleet.links(child.name):
+                for relay in fleet.relays_of(child.name):
                     relay.begin("silent")
             count = 0
             while True:
@@ -105,9 +105,9 @@
             if kind == "kill":
                 await child.start()
             elif kind == "stall":
-                child.go_on()
+                child.resume()
             else:
-                for relay in fleet.links(child.name):
+                for relay in fleet.relays_of(child.name):
                     relay.end("silent")
             await well(fleet)
     return found
@@ -133,15 +133,15 @@
     async with Fleet(Scenario("bench"), 2) as fleet:
         await well(fleet)
         leader = await leader_of(fleet)
-        before = {each.name: processor(each.process.pid) for each in fleet.children.values()}
+        before = {each.name: processor_s(each.process.pid) for each in fleet.children.values()}
         await asyncio.sleep(seconds)
         used = {
-            name: (processor(fleet.children[name].process.pid) - cpu) / seconds
+            name: (processor_s(fleet.children[name].process.pid) - cpu) / seconds
             for name, cpu in before.items()
         }
         follower = next(each for each in fleet.names if each != leader.name)
         return "\n".join(
-            f"| {what} | {resident(fleet.children[name].process.pid):.0f} | {100 * used[name]:.1f} % |"
+            f"| {what} | {resident_mb(fleet.children[name].process.pid):.0f} | {100 * used[name]:.1f} % |"
             for what, name in (("leader", leader.name), ("follower", follower))
         )
 
@@ -164,7 +164,7 @@
 
         await asyncio.gather(*(some(at) for at in range(16)))
         await well(fleet)
-        memory = resident(child.process.pid)
+        memory = resident_mb(child.process.pid)
         one = next(each for each in fleet.children.values() if each is not child)
         size = sum(each.stat().st_size for each in one.folder.iterdir()) / 1e6
         await one.end()
@@ -173,11 +173,9 @@
         listens = time.monotonic() - begun
         await well(fleet)
         again = time.monotonic() - begun
-        play = Play.__new__(Play)
-        play.fleet, play.scenario = fleet, fleet.scenario
-        play.chance = fleet.rng("bench")
+        operator = FleetOperator(fleet, fleet.rng("bench"))
         begun = time.monotonic()
-        await play.replace(one.name)
+        await operator.replace(one.name)
         await well(fleet)
         fresh = time.monotonic() - begun
         status = (await call(one.address, "GET", "/status")).value
--- a/foxspread/cli/processes.py
+++ b/foxspread/cli/processes.py
@@ -52,26 +52,26 @@
 @JSON
 def run(file: str, seeds: range, mutant: str | None, as_json: bool) -> None:
     """Real processes on loopback, one run a seed. Exit code 1 where a rule is broken."""
-    played_scenario, broken = loaded(file), False
+    named_scenario, broken = loaded(file), False
     for seed in seeds:
         try:
-            played = asyncio.run(real.played(played_scenario, seed, mutant or ""))
+            result = asyncio.run(real.run_scenario(named_scenario, seed, mutant or ""))
         except SocketsError as error:
             raise click.ClickException(str(error)) from None
-        broken |= bool(played.faults)
+        broken |= bool(result.violations)
         if as_json:
-            click.echo(json.dumps(asdict(played)))
+            click.echo(json.dumps(result.as_row()))
             continue
-        counts = ", ".join(f"{count} {kind}" for kind, count in sorted(played.operations.items()))
+        counts = ", ".join(f"{count} {kind}" for kind, count in sorted(result.operations.items()))
         click.echo(
-            f"seed {seed}: {played.versions} versions; {counts}; {len(played.befell)} faults befell; "
-            f"longest without a put {played.worst:.2f} s; "
-            + ("rules broken:" if played.faults else "no rule broken")
+            f"seed {seed}: {result.versions} versions; {counts}; {len(result.fault_log)} faults befell; "
+            f"longest without a put {result.longest_without_put:.2f} s; "
+            + ("rules broken:" if result.violations else "no rule broken")
         )
-        for each in played.faults:
+        for each in result.violations:
             click.echo(f"  {each['rule']}: {each['text']}")
-        if played.faults:
-            click.echo("  befell: " + "; ".join(played.befell))
+        if result.violations:
+            click.echo("  befell: " + "; ".join(result.fault_log))
     sys.exit(1 if broken else 0)
 
 
--- a/foxspread/lab/processes/child.py
+++ b/foxspread/lab/processes/child.py
@@ -1,5 +1,7 @@
-"""A coordinator as the lab starts it: the sound one, with a clock that may run fast or slow, a disk whose
-fsync fails while a file stands beside it, and, where it is asked for, a part that a mutant breaks.
+"""The process of a coordinator as the lab starts it, with faults that need its inside.
+
+Its clock may run fast or slow, its fsync fails while a file stands in its folder, and on request it has a
+part that a mutant breaks.
 
     python -m foxspread.lab.processes.child FILE RATE [MUTANT]
 """
@@ -18,17 +20,21 @@
 from foxspread.fleet_rules.lease_manager import LeaseManager
 from foxspread.fleet_rules.rollout import Rollout
 
-FAILS = "fsync-fails"  # a file of this name in the folder
+FSYNC_FAULT_FILE = "fsync-fails"  # a file of this name in the folder
 
 
 class FailingDisk(Storage):
+    """A storage whose fsync fails while a file stands beside it."""
+
     def sync(self) -> None:
-        if os.path.exists(self.folder / FAILS):
+        """Fails, or syncs."""
+        if os.path.exists(self.folder / FSYNC_FAULT_FILE):
             raise sqlite3.OperationalError("fsync: input/output error")
         super().sync()
 
 
 def main(args: list[str]) -> int:
+    """Serves until a signal; returns the exit code."""
     file, rate = args[0], float(args[1])
     if args[2:]:
         from foxspread.lab.processes.mutants import MUTANTS
@@ -41,8 +47,8 @@
     class Child(LeaseManagerProcess):
         storage_type = FailingDisk
 
-        def __init__(self, *told: Any) -> None:
-            super().__init__(*told, Clock(rate))
+        def __init__(self, *arguments: Any) -> None:
+            super().__init__(*arguments, Clock(rate))
 
     return serve(str(pathlib.Path(file)), Child)
 
--- a/foxspread/lab/processes/explorer.py
+++ b/foxspread/lab/processes/explorer.py
@@ -158,10 +158,10 @@
         disks = {id: StoredState("", 1) for id in IDS}
         state = State({id: member_of(self.kind, id, disks[id]) for id in IDS}, disks, frozenset())
         for id in IDS:
-            self._carry_out(state, id)
+            self._apply_outputs(state, id)
         return state
 
-    def _carry_out(self, state: State, id: str) -> None:
+    def _apply_outputs(self, state: State, id: str) -> None:
         """All that one member's step leads to at once: its records are on disk, its messages are in
         flight."""
         member, posted = state.members[id], []
@@ -223,7 +223,7 @@
     def _input(self, twin: State, id: str, message: Message, sender: str) -> None:
         member = twin.members[id] = clone(twin.members[id])
         member.receive(0.0, Envelope("lab", FORMAT, sender, id, STORAGE_IDENTITY, message))
-        self._carry_out(twin, id)
+        self._apply_outputs(twin, id)
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
         """Each state that may follow, and what leads to it."""
@@ -235,7 +235,7 @@
             if state.crashes < self.case.crashes and state.disks[id].writes > 1:
                 twin = self._next(state, crashes=state.crashes + 1)
                 twin.members[id] = member_of(self.kind, id, twin.disks[id])
-                self._carry_out(twin, id)
+                self._apply_outputs(twin, id)
                 yield f"{id} starts anew", twin
 
     def _deliveries(self, state: State) -> Iterator[tuple[str, State]]:
@@ -273,7 +273,7 @@
             twin = self._next(state, writes=state.writes + 1)
             twin.members[id] = clone(state.members[id])
             twin.members[id].propose(0.0, b"write")
-            self._carry_out(twin, id)
+            self._apply_outputs(twin, id)
             yield f"{id} writes", twin
         if state.heartbeats < self.case.heartbeats:
             twin = self._next(state, heartbeats=state.heartbeats + 1)
@@ -281,7 +281,7 @@
             for row in leader.progress.values():
                 row.in_flight_since, row.next_index = None, row.match_index + 1
             leader._broadcast_heartbeat()
-            self._carry_out(twin, id)
+            self._apply_outputs(twin, id)
             yield f"{id} sends again", twin
 
     def key(self, state: State) -> int:
--- a/foxspread/lab/processes/fleet.py
+++ b/foxspread/lab/processes/fleet.py
@@ -1,6 +1,7 @@
-"""Real coordinators on loopback: each a process with a folder of its own, a relay on each way between two of
-them and from the writers to each. Ports are the system's. All processes end by their ids with the block, in
-any case.
+"""Real coordinators on loopback, with a relay on each connection that faults may strike.
+
+Each is a process with a folder of its own; relays stand between each two and between writers and each. Ports
+are the system's. All processes end by their ids with the block, in any case.
 """
 
 import asyncio
@@ -20,7 +21,7 @@
 
 from foxspread.config import Address
 from foxspread.consensus import messages, wire
-from foxspread.lab.processes.child import FAILS
+from foxspread.lab.processes.child import FSYNC_FAULT_FILE
 from foxspread.lab.processes.relay import Relay
 from foxspread.lab.processes.scenario import Scenario
 from foxspread.lab.scenario import SocketsError
@@ -38,21 +39,22 @@
         self.file, self.log = fleet.folder / f"{name}.toml", fleet.folder / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
         self.address: Address | None = None
-        self.rate, self.joins, self.stopped, self.starts = 1.0, False, False, 0
-        self.reach: dict[str, Relay] = {}  # its links to the others
+        self.rate, self.join_existing, self.suspended, self.starts = 1.0, False, False, 0
+        self.peer_relays: dict[str, Relay] = {}  # to the other members
 
-    def write(self) -> None:
+    def write_configuration(self) -> None:
+        """The file that the process reads at its start."""
         names = self.fleet.names
         rows = [
             'fleet = "lab"',
             f'name = "{self.name}"',
             'listen = "127.0.0.1:0"',
             f'folder = "{self.folder}"',
-            f"joins = {str(self.joins).lower()}",
+            f"joins = {str(self.join_existing).lower()}",
             "[members]",
-            *(f'{each} = "{self.fleet.seat(each)}"' for each in names),
+            *(f'{each} = "{self.fleet.address_of(each)}"' for each in names),
             "[reach]",
-            *(f'{each} = "{relay.address}"' for each, relay in self.reach.items()),
+            *(f'{each} = "{relay.address}"' for each, relay in self.peer_relays.items()),
             "[times]",
             f"beat = {self.fleet.scenario.beat}",
             f"election = {self.fleet.scenario.election}",
@@ -64,11 +66,12 @@
 
     @property
     def running(self) -> bool:
+        """Whether the process has started and not ended."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
         """Until it listens. Raises `SocketsError` with its log where it ends before."""
-        self.write()
+        self.write_configuration()
         self.starts += 1
         before = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as log:
@@ -87,65 +90,71 @@
             with self.log.open("rb") as log:
                 log.seek(before)
                 text = log.read().decode(errors="replace")
-            if found := LISTEN.search(text):
+            if address := LISTEN.search(text):
                 break
             if not self.running or time.monotonic() > end:
                 raise SocketsError(f"{self.name} does not start: {text[-2000:]}")
             await asyncio.sleep(0.01)
-        self.address, self.stopped = Address(found[1], int(found[2])), False
-        for relay in self.fleet.to(self.name):
+        self.address, self.suspended = Address(address[1], int(address[2])), False
+        for relay in self.fleet.relays_to(self.name):
             relay.target = self.address
 
     async def end(self, number: int = signal.SIGKILL) -> None:
+        """Ends the process by a signal; by SIGKILL where it does not follow in time."""
         if self.running:
-            if self.stopped and number != signal.SIGKILL:
-                self.go_on()
+            if self.suspended and number != signal.SIGKILL:
+                self.resume()
             self.process.send_signal(number)
             try:
                 await asyncio.wait_for(self.process.wait(), END_WITHIN)
             except TimeoutError:
                 self.process.kill()
                 await self.process.wait()
-        for relay in self.fleet.to(self.name):
+        for relay in self.fleet.relays_to(self.name):
             relay.target = None
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
+        """Suspends the process by SIGSTOP."""
         if self.running:
             self.process.send_signal(signal.SIGSTOP)
-            self.stopped = True
+            self.suspended = True
 
-    def go_on(self) -> None:
-        if self.running and self.stopped:
+    def resume(self) -> None:
+        """Ends a suspension."""
+        if self.running and self.suspended:
             self.process.send_signal(signal.SIGCONT)
-        self.stopped = False
+        self.suspended = False
 
     def disk_full(self, on: bool) -> None:
         """By the file-size limit of that process: its files grow no more."""
         if self.running:
-            most = max((each.stat().st_size for each in self.folder.iterdir()), default=0)
-            limit = most if on else resource.RLIM_INFINITY
+            largest = max((each.stat().st_size for each in self.folder.iterdir()), default=0)
+            limit = largest if on else resource.RLIM_INFINITY
             with contextlib.suppress(ProcessLookupError):
                 resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
     def fsync_fails(self, on: bool) -> None:
+        """Makes each fsync of the process fail, or none."""
         if on:
-            (self.folder / FAILS).touch()
+            (self.folder / FSYNC_FAULT_FILE).touch()
         else:
-            (self.folder / FAILS).unlink(missing_ok=True)
+            (self.folder / FSYNC_FAULT_FILE).unlink(missing_ok=True)
 
     def wipe(self) -> None:
+        """Deletes its folder."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def copy(self) -> pathlib.Path:
+    def copy_folder(self) -> pathlib.Path:
         """A copy of its folder as it is; of a process that runs, so it may be torn, as a power cut would
         leave it."""
-        kept = self.fleet.folder / f"{self.name}-{time.monotonic_ns()}"
-        shutil.copytree(self.folder, kept)
-        return kept
+        copied = self.fleet.folder / f"{self.name}-{time.monotonic_ns()}"
+        shutil.copytree(self.folder, copied)
+        return copied
 
-    def put_back(self, kept: pathlib.Path) -> None:
+    def restore(self, copied: pathlib.Path) -> None:
+        """Puts an earlier copy of its folder in place."""
         self.wipe()
-        shutil.copytree(kept, self.folder)
+        shutil.copytree(copied, self.folder)
 
 
 class Fleet:
@@ -163,22 +172,24 @@
         self.names = [f"c{at}" for at in range(1, scenario.members + 1)]
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="foxspread-lab-"))
         self.children = {each: Child(self, each) for each in self.names}
-        self.more: dict[str, list[Relay]] = {}  # further ways to each, as of sidecars
-        self.writers: dict[str, Relay] = {}  # the way of all writers to each
+        self.extra_relays: dict[str, list[Relay]] = {}  # to each, as from sidecars
+        self.writers: dict[str, Relay] = {}  # from all writers to each
 
-    def seat(self, name: str) -> str:
-        """Places that nobody listens at: each way goes over its relay."""
+    def address_of(self, name: str) -> str:
+        """An address that nobody listens at: each connection goes through its relay."""
         return f"127.0.0.1:{self.names.index(name) + 1}"
 
-    def to(self, name: str) -> list[Relay]:
-        ways = [child.reach[name] for child in self.children.values() if name in child.reach]
-        return [*ways, self.writers[name], *self.more.get(name, [])]
+    def relays_to(self, name: str) -> list[Relay]:
+        """The relays through which others call a member."""
+        relays = [child.peer_relays[name] for child in self.children.values() if name in child.peer_relays]
+        return [*relays, self.writers[name], *self.extra_relays.get(name, [])]
 
-    def links(self, name: str) -> list[Relay]:
+    def relays_of(self, name: str) -> list[Relay]:
         """All of a member, both ways."""
-        return [*self.to(name), *self.children[name].reach.values()]
+        return [*self.relays_to(name), *self.children[name].peer_relays.values()]
 
     def rng(self, name: str) -> random.Random:
+        """A source of chance for one part of the run."""
         return random.Random(zlib.crc32(f"{name}:{self.seed}".encode()))
 
     def _seen(self, body: bytes) -> None:
@@ -193,7 +204,7 @@
             for other in self.names:
                 if one != other:
                     name = f"{one}-{other}"
-                    self.children[one].reach[other] = Relay(name, self.rng(name), self._seen)
+                    self.children[one].peer_relays[other] = Relay(name, self.rng(name), self._seen)
         try:
             await asyncio.gather(*(child.start() for child in self.children.values()))
         except BaseException:
@@ -206,8 +217,8 @@
             await child.end()
         relays = [
             *self.writers.values(),
-            *(each for child in self.children.values() for each in child.reach.values()),
-            *(each for several in self.more.values() for each in several),
+            *(each for child in self.children.values() for each in child.peer_relays.values()),
+            *(each for several in self.extra_relays.values() for each in several),
         ]
         await asyncio.gather(*(relay.close() for relay in relays))
         if kind is None:
@@ -216,16 +227,17 @@
             print(f"logs are kept in {self.folder}", file=sys.stderr)
 
     def pids(self) -> list[int]:
+        """Of the processes that run."""
         return [child.process.pid for child in self.children.values() if child.running]
 
 
-def resident(pid: int) -> float:
+def resident_mb(pid: int) -> float:
     """MB."""
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def processor(pid: int) -> float:
+def processor_s(pid: int) -> float:
     """Seconds of a core that the process has used."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
--- a/foxspread/lab/processes/fleet_rules_processes.py
+++ b/foxspread/lab/processes/fleet_rules_processes.py
@@ -19,7 +19,8 @@
 from foxspread.lab.processes.fleet import Fleet
 from foxspread.lab.processes.lease_holder_process import ActRecord
 from foxspread.lab.processes.random_versions import random_version
-from foxspread.lab.processes.real import ERRORS, Play
+from foxspread.lab.processes.fleet_operator import ERRORS
+from foxspread.lab.processes.real import ProcessRun
 from foxspread.lab.processes.scenario import Scenario
 from foxspread.lab.processes.sidecar_process import SidecarProcess
 
@@ -106,9 +107,9 @@
     ) -> None:
         settle = MUTANT_SETTLE_SECONDS if mutant else SETTLE_SECONDS
         self.scenario = Scenario("agreed", seconds=seconds, settle=settle, lease=lease, alone=alone)
-        self.play = Play(self.scenario, seed)
-        self.fleet: Fleet = self.play.fleet
-        self.events: list[str] = self.play.befell
+        self.process_run = ProcessRun(self.scenario, seed)
+        self.fleet: Fleet = self.process_run.fleet
+        self.events: list[str] = self.process_run.faults.log
         self.chance, self.seed, self.every, self.faulty = self.fleet.rng("agreed"), seed, every, faults
         self.count, self.mutant, self.versions, self.puts = sidecars, mutant, versions, puts
         self.script = [ScriptedFault(*row) for row in script]
@@ -206,8 +207,8 @@
             if fault.target in self.sidecars:
                 await self.sidecars[fault.target].strike(fault.kind, fault.lasts)
             else:
-                name = await self.play.whom(fault.target)
-                await self.play.befalls(fault.kind, fault.lasts, name)
+                name = await self.process_run.faults.resolve(fault.target)
+                await self.process_run.faults.inject(fault.kind, fault.lasts, name)
 
         await asyncio.gather(*(strike(fault) for fault in self.script))
 
@@ -220,7 +221,7 @@
             lasts = min(0.1 + self.chance.expovariate(0.7), MAX_FAULT_SECONDS)
             if self.chance.random() < NODE_FAULT_SHARE:
                 name, kind = self.chance.choice(self.fleet.names), self.chance.choice(NODE_FAULTS)
-                fault = self.play.befalls(kind, lasts, name)
+                fault = self.process_run.faults.inject(kind, lasts, name)
             else:
                 name = self.chance.choice(sorted(self.sidecars))
                 fault = self.sidecars[name].strike(self.chance.choice(self.sidecar_faults), lasts)
@@ -255,9 +256,9 @@
             self.sidecars[f"s{number}"] = self.process_kind(self, f"s{number}")
         for sidecar in self.sidecars.values():
             for name, relay in sidecar.relays.items():
-                self.fleet.more.setdefault(name, []).append(relay)
+                self.fleet.extra_relays.setdefault(name, []).append(relay)
                 relay.target = self.fleet.children[name].address
-        self.began = self.play.begun = time.monotonic()
+        self.began = self.process_run.started_at = time.monotonic()
         await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars.values()))
 
     async def _rollout_status(self) -> dict[str, Any]:
--- a/foxspread/lab/processes/relay.py
+++ b/foxspread/lab/processes/relay.py
@@ -1,15 +1,15 @@
-"""A link between two processes: one side connects here, and gets the other side through faults by name.
+"""A relay between two processes, with faults by name on the connections through it.
 
-What passes is kept as a ledger of requests. Faults act on a link as long as they are on:
+A callback gets the body of each request that passes. Faults act on a link as long as they are on:
 
-    silent      nothing passes either way; what was on its way comes when the link is whole again
+    silent      nothing passes either way; what was in flight comes when the fault ends
     silent_out  nothing passes from the side that connects; silent_in: nothing comes back to it
     reset       connections are reset, new ones too
     refuse      nobody listens
     delay       each piece comes later, by a tenth of a second and some jitter
     trickle     a few bytes at a time
     held        pieces come after seconds
-    half_open   the far side is gone and the near side isn't told
+    half_open   the far side is gone and the near side gets no notice
     repeat      requests are sent twice
 """
 
@@ -35,34 +35,36 @@
     "half_open",
     "repeat",
 )
-HEAD_MOST = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 
 
-class Requests:
-    """Cuts a stream into whole requests, by their Content-Length; what isn't one passes as it came."""
+class RequestParser:
+    """Cuts a stream into complete requests, by their Content-Length; what isn't one passes as it came."""
 
     def __init__(self) -> None:
         self.data = bytearray()
 
     def feed(self, data: bytes) -> list[tuple[bytes, bytes]]:
-        """Each whole request, and its body."""
+        """Each complete request, and its body."""
         self.data += data
-        found = []
+        requests = []
         while (end := self.data.find(b"\r\n\r\n")) >= 0:
             head = bytes(self.data[:end]).lower()
             at = head.find(b"content-length:")
             length = int(head[at + 15 :].split(b"\r\n", 1)[0]) if at >= 0 else 0
             if len(self.data) < end + 4 + length:
                 break
-            found.append((bytes(self.data[: end + 4 + length]), bytes(self.data[end + 4 : end + 4 + length])))
+            requests.append(
+                (bytes(self.data[: end + 4 + length]), bytes(self.data[end + 4 : end + 4 + length]))
+            )
             del self.data[: end + 4 + length]
-        if len(self.data) > HEAD_MOST + 64 * 1024:
+        if len(self.data) > MAX_HEAD_BYTES + 64 * 1024:
             raise ConnectionError("no request of ours")
-        return found
+        return requests
 
 
 class Relay:
-    """`target` may change, as when the far process starts anew. `saw` is told each whole request's body."""
+    """`target` may change, as when the far process starts anew. `saw` gets each request's body."""
 
     def __init__(
         self, name: str, chance: random.Random, saw: Callable[[bytes], None] = lambda body: None
@@ -79,36 +81,40 @@
         self.accepting = self.loop.create_task(self._accept())
 
     def begin(self, kind: str) -> None:
+        """A fault begins; the same one may begin several times."""
         self.on[kind] = self.on.get(kind, 0) + 1
         if kind == "refuse" and self.on[kind] == 1:
-            self._deafen()
+            self._stop_listening()
         if kind in ("reset", "refuse", "half_open"):
             self.reset()
-        self._tell()
+        self._notify()
 
     def end(self, kind: str) -> None:
+        """A fault ends, once it has ended as often as it began."""
         self.on[kind] -= 1
         if kind == "refuse" and not self.on[kind]:
             self.sock = listening(self.address, "relay", 64)
             self.accepting = self.loop.create_task(self._accept())
         if kind == "half_open" and not self.on[kind]:
             self.reset()
-        self._tell()
+        self._notify()
 
-    def _deafen(self) -> None:
+    def _stop_listening(self) -> None:
         """Guards against a number that is used again: closed while the loop still watches it, the next socket
         with that number would not be watched (seen as ENOENT from a connect)."""
         self.accepting.cancel()
         self.accepting.add_done_callback(lambda _, sock=self.sock: sock.close())
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
     def has(self, *kinds: str) -> bool:
+        """Whether one of these faults is on."""
         return any(self.on.get(kind) for kind in kinds)
 
     def reset(self) -> None:
+        """Resets all connections."""
         for sock in list(self.sockets):
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -121,11 +127,11 @@
             except OSError:
                 return
             near.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = self.loop.create_task(self._carry(near))
+            task = self.loop.create_task(self._forward(near))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _carry(self, near: socket.socket) -> None:
+    async def _forward(self, near: socket.socket) -> None:
         far = socket.socket()
         far.setblocking(False)
         self.sockets |= {near, far}
@@ -140,7 +146,7 @@
             await self.loop.sock_connect(far, (self.target.host, self.target.port))
             far.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(near, far, "silent_out", Requests()))
+                group.create_task(self._pump(near, far, "silent_out", RequestParser()))
                 group.create_task(self._pump(far, near, "silent_in", None))
         except* (OSError, ValueError):
             pass
@@ -150,18 +156,18 @@
                 sock.close()
 
     async def _pump(
-        self, one: socket.socket, other: socket.socket, silent: str, cut: Requests | None
+        self, one: socket.socket, other: socket.socket, silent: str, parser: RequestParser | None
     ) -> None:
         """Until an end closes, which ends both ways."""
         while True:
             data = await self.loop.sock_recv(one, 65536)
             if not data:
                 raise ConnectionError("closed")
-            if cut is not None:
-                whole = cut.feed(data)
-                for _, body in whole:
+            if parser is not None:
+                requests = parser.feed(data)
+                for _, body in requests:
                     self.saw(body)
-                data = b"".join(each * 2 if self.has("repeat") else each for each, _ in whole)
+                data = b"".join(each * 2 if self.has("repeat") else each for each, _ in requests)
             if self.has("delay"):
                 await asyncio.sleep(0.1 + self.chance.uniform(0, 0.1))
             if self.has("held"):
@@ -176,7 +182,8 @@
                     await asyncio.sleep(0.001)
 
     async def close(self) -> None:
-        self._deafen()
+        """Ends the relay with all its connections."""
+        self._stop_listening()
         tasks = [self.accepting, *self.tasks]
         for task in tasks:
             task.cancel()
--- a/foxspread/lab/processes/simulated_network.py
+++ b/foxspread/lab/processes/simulated_network.py
@@ -28,9 +28,9 @@
 
     def delay(self) -> float:
         """The seconds that the next message takes."""
-        is_held = self.chance.random() < self.fault_rates["held"]
-        held = self.chance.uniform(MIN_HELD_S, MAX_HELD_S) if is_held else 0.0
-        return self.chance.uniform(MIN_DELAY_S, MAX_DELAY_S) + held
+        is_delayed = self.chance.random() < self.fault_rates["held"]
+        further_s = self.chance.uniform(MIN_HELD_S, MAX_HELD_S) if is_delayed else 0.0
+        return self.chance.uniform(MIN_DELAY_S, MAX_DELAY_S) + further_s
 
     def loses(self) -> bool:
         """Draws whether the next message is lost."""
--- a/foxspread/lab/processes/simulated_node.py
+++ b/foxspread/lab/processes/simulated_node.py
@@ -133,7 +133,7 @@
                 self.world.plan.settings,
                 self.chance.random,
             )
-            self.carry_out()
+            self.apply_outputs()
 
     def kill(self) -> None:
         """Ends the process as a power cut would."""
@@ -156,7 +156,7 @@
             self.stalled.append(lambda: self.step(call) if incarnation == self.incarnation else None)
             return
         call(self.host, self.local())
-        self.carry_out()
+        self.apply_outputs()
 
     def resume(self) -> None:
         """Ends a stall: the inputs that came meanwhile are taken."""
@@ -165,7 +165,7 @@
             call()
         self.step(lambda host, now: host.tick(now))
 
-    def carry_out(self) -> None:
+    def apply_outputs(self) -> None:
         """Does what the coordinator asks for, and wakes it when it wants to be."""
         outputs: Outputs = self.host.take(self.local())
         for write in outputs.writes:
--- a/foxspread/lab/processes/simulated_sidecar.py
+++ b/foxspread/lab/processes/simulated_sidecar.py
@@ -196,8 +196,8 @@
         for number in self.holder.missing_versions():
             target = self.chance.choice(world.ids)
             reply = Reply(self, "fetch", None, target)
-            cut = world.network.is_blocked(self.id, target) or world.network.is_blocked(target, self.id)
-            if cut or world.network.loses():
+            blocked = world.network.is_blocked(self.id, target) or world.network.is_blocked(target, self.id)
+            if blocked or world.network.loses():
                 continue
             world.clock.after(2 * world.network.delay(), self._fetched, reply, number)
 
--- a/foxspread/mesh/simulation/acceptor_mutants.py
+++ b/foxspread/mesh/simulation/acceptor_mutants.py
@@ -21,6 +21,7 @@
     """A wiped machine votes again once one other has replied."""
 
     def required_replies(self, members: MemberSet) -> int:
+        """One, whatever the members."""
         return 1
 
 
@@ -28,6 +29,7 @@
     """A machine that has enrolled takes the first reply, not the newest."""
 
     def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
+        """Takes the first reply again in place of this one."""
         if self.enrolment_replies:
             first = next(iter(self.enrolment_replies.values()))
             message = replace(
@@ -52,6 +54,7 @@
     """What was accepted is not in storage before its reply."""
 
     def accept(self, message: Accept) -> Response:
+        """Drops the write of what was accepted."""
         writes, reply, new_items = super().accept(message)
         lost = [each for each in writes if isinstance(each, SetMeta) and each.name == ACCEPTED]
         return Response([each for each in writes if each not in lost], reply, new_items)
@@ -61,6 +64,7 @@
     """Also a lower proposal number than it has promised."""
 
     def prepare(self, message: Prepare) -> Response:
+        """Lowers its promise first."""
         self.promised = min(self.promised, message.proposal_number)
         return super().prepare(message)
 
@@ -69,6 +73,7 @@
     """Also under a lower proposal number than it has promised."""
 
     def accept(self, message: Accept) -> Response:
+        """Lowers its promise first."""
         self.promised = min(self.promised, message.proposal_number)
         return super().accept(message)
 
@@ -77,6 +82,7 @@
     """News of a committed proposal commits whatever was accepted here last."""
 
     def commit(self, proposal_number: ProposalNumber) -> Learned | None:
+        """Commits the accepted delta under any number."""
         if proposal_number <= self.learner.committed_number or not self.delta:
             return None
         rows = [CommittedItem(item, proposal_number) for item in self.delta.values()]
@@ -87,6 +93,7 @@
     """Committed items that an accept brings along are not shown."""
 
     def accept(self, message: Accept) -> Response:
+        """Leaves the new items out of the response."""
         return super().accept(message)._replace(new_items=[])
 
 
@@ -94,6 +101,7 @@
     """An accept is taken whatever storage its promises came from."""
 
     def accept(self, message: Accept) -> Response:
+        """Accepts without the identities of storages."""
         return super().accept(replace(message, disks={}))
 
 
@@ -101,6 +109,7 @@
     """A machine that has enrolled has promised nothing."""
 
     def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
+        """Enrols without the promise that the reply carries."""
         return super().take_enrolled(sender, replace(message, promised=NONE))
 
 
@@ -108,6 +117,7 @@
     """Nothing wrong: what one that enrols lacks does not fit the reply, and comes in chunks."""
 
     def rows_since(self, committed_number: ProposalNumber) -> list[Row] | None:
+        """None for a replica that has nothing: it has to pull chunks."""
         has_rows = self.learner.committed_number > NONE
         return None if committed_number == NONE and has_rows else super().rows_since(committed_number)
 
@@ -116,6 +126,7 @@
     """It votes and answers as soon as it has enrolled, whatever it still lacks."""
 
     def take_enrolled(self, sender: str, message: Enrolled) -> Learned | None:
+        """Enrols, and votes without waiting for the missing rows."""
         learned = super().take_enrolled(sender, message)
         if self.enrolment_target is not None:
             self.enrolment_target, self.voting, self.members_confirmed = None, True, True
--- a/foxspread/mesh/simulation/node_mutants.py
+++ b/foxspread/mesh/simulation/node_mutants.py
@@ -30,16 +30,17 @@
     """
 
     def on_peer_committed(self, proposal_number: ProposalNumber) -> None:
-        pass
+        """Does nothing."""
 
     def learn(self, committed_number: ProposalNumber, rows: list[Row], complete_set: bool = False) -> None:
-        pass
+        """Does nothing."""
 
 
 class LosesSyncedWrites(SimulatedStorage):
     """Storage that reports as synced what is lost with the power."""
 
     def lose_power(self) -> None:
+        """Loses the promise and what was accepted as well."""
         for name in (ACCEPTED, PROMISED):
             self.meta.pop(name, None)
         super().lose_power()
@@ -49,6 +50,7 @@
     """Staleness counts from when the reply came, not from when it was asked for."""
 
     def receive(self, now: float, sender: str, message: ContactReply) -> None:
+        """Moves the time of each pending request to now."""
         for request in self.pending:
             request.sent_at = now
         super().receive(now, sender, message)
@@ -58,6 +60,7 @@
     """One reply is as good as a majority's."""
 
     def update(self, members: MemberSet, committed_number: ProposalNumber) -> None:
+        """Judges by a member set of one that has replied."""
         named = {name for request in self.pending for name in request.seen_by_member}
         super().update(MemberSet(members.epoch, tuple(named)[:1]) if named else members, committed_number)
 
@@ -66,6 +69,7 @@
     """What the others have committed is not looked at."""
 
     def update(self, members: MemberSet, committed_number: ProposalNumber) -> None:
+        """Counts as up to date with anything."""
         super().update(members, (1 << 60, ""))
 
 
@@ -73,9 +77,11 @@
     """In contact and fresh from the start."""
 
     def is_current(self, now: float) -> bool:
+        """Always."""
         return True
 
     def staleness_s(self, now: float) -> float | None:
+        """Always zero."""
         return 0.0
 
 
@@ -89,6 +95,7 @@
     """What follows the first chunk of a snapshot is left out."""
 
     def receive(self, now: float, peer: Peer, message: SnapshotReply) -> ReceivedRows | None:
+        """Takes each chunk for the last."""
         if isinstance(message, SnapshotRows) and message.chunk.more:
             chunk = message.chunk
             digest = chunk_digest(chunk.rows, self.cursor, chunk.committed_number, False, chunk.horizon)
@@ -100,6 +107,7 @@
     """What came is shown before the snapshot is complete, and then carried on with."""
 
     def receive(self, now: float, peer: Peer, message: SnapshotReply) -> ReceivedRows | None:
+        """Returns the rows staged so far."""
         received = super().receive(now, peer, message)
         more = isinstance(message, SnapshotRows) and message.chunk.more
         if received is None and more and self.staged:
@@ -112,4 +120,5 @@
     """Ready by whatever it was told, however stale."""
 
     def record_basis(self, now: float, requested_at: float, age_s: float | None) -> None:
+        """Records a basis of age zero."""
         super().record_basis(now, now, 0.0)
--- a/foxspread/mesh/simulation/proposer_mutants.py
+++ b/foxspread/mesh/simulation/proposer_mutants.py
@@ -73,6 +73,7 @@
     """One acceptance commits a proposal."""
 
     def receive(self, now: float, sender: str, message: ProposerReply) -> ProposerOutput:
+        """Commits upon the first acceptance."""
         if (
             isinstance(message, Accepted)
             and self.proposed_delta is not None
@@ -88,6 +89,7 @@
     """A read is answered from the local replica, without a majority."""
 
     def submit(self, now: float, token: object, items: Iterable[Item], deadline: float) -> ProposerOutput:
+        """Completes a read at once."""
         items = list(items)
         if not items:
             return ProposerOutput(completed=[CompletedCall(token, True)])
@@ -98,6 +100,7 @@
     """Which storage others know to be lost is not looked at."""
 
     def receive(self, now: float, sender: str, message: ProposerReply) -> ProposerOutput:
+        """Keeps the sender's own storage identity only."""
         if isinstance(message, Promise | Accepted):
             message = replace(message, disks={sender: message.disks[sender]})
         return super().receive(now, sender, message)
--- a/tests/consensus/test_process.py
+++ b/tests/consensus/test_process.py
@@ -16,7 +16,9 @@
 from foxspread.consensus.wire import FORMAT, encode
 from foxspread.lab.processes import real
 from foxspread.lab.processes.fleet import Child
-from foxspread.lab.processes.real import CONTENT, ERRORS, Play
+from foxspread.lab.processes.fleet_operator import ERRORS
+from foxspread.lab.processes.process_writer import CONTENT
+from foxspread.lab.processes.real import ProcessRun
 from foxspread.lab.processes.scenario import Drawn, Scenario, Writers
 
 SCENARIO = Scenario("test", seconds=3.0, settle=10.0)
@@ -26,13 +28,13 @@
     @functools.wraps(test)
     def run(self: unittest.TestCase) -> None:
         async def main() -> None:
-            play = Play(SCENARIO, 1)
-            async with play.fleet:
-                await wait_until_converged(play)
-                await test(self, play)
-                await wait_until_converged(play)
-                await play.ended()
-            self.assertEqual(play.judge.violations, [])
+            process_run = ProcessRun(SCENARIO, 1)
+            async with process_run.fleet:
+                await wait_until_converged(process_run)
+                await test(self, process_run)
+                await wait_until_converged(process_run)
+                await process_run.check_end()
+            self.assertEqual(process_run.judge.violations, [])
 
         asyncio.run(asyncio.wait_for(main(), 60))
 
@@ -48,9 +50,9 @@
     return found
 
 
-async def wait_until_converged(play: Play) -> None:
+async def wait_until_converged(process_run: ProcessRun) -> None:
     async def agree() -> bool:
-        rows = list((await play.statuses()).values())
+        rows = list((await process_run.operator.statuses()).values())
         return len({(row.get("leader"), row.get("applied")) for row in rows}) == 1 and bool(
             rows[0].get("leader")
         )
@@ -76,10 +78,12 @@
 
 
 class ProcessFaults(unittest.TestCase):
-    async def leader_and_followers(self, play: Play) -> tuple[Child, list[Child]]:
+    async def leader_and_followers(self, process_run: ProcessRun) -> tuple[Child, list[Child]]:
         """The leader, and the others."""
-        name = await wait_for(play.leader)
-        return play.fleet.children[name], [each for each in play.fleet.children.values() if each.name != name]
+        name = await wait_for(process_run.operator.leader)
+        return process_run.fleet.children[name], [
+            each for each in process_run.fleet.children.values() if each.name != name
+        ]
 
     async def put_at_any(self, children: list[Child], request: str) -> dict[str, Any]:
         """A put at any of them, whoever leads."""
@@ -93,16 +97,18 @@
         return await wait_for(some)
 
     @with_fleet
-    async def test_a_resumed_leader_gives_no_stale_read_and_no_lost_write(self, play: Play) -> None:
-        leader, followers = await self.leader_and_followers(play)
+    async def test_a_resumed_leader_gives_no_stale_read_and_no_lost_write(
+        self, process_run: ProcessRun
+    ) -> None:
+        leader, followers = await self.leader_and_followers(process_run)
         await put(leader, "first")
-        leader.stop()
+        leader.suspend()
         second = await self.put_at_any(followers, "second")
         asked = asyncio.gather(
             get(leader), put(leader, "third")
         )  # they wait in its socket while it stands still
         await asyncio.sleep(0.1)
-        leader.go_on()
+        leader.resume()
         read, wrote = await asked
         if read["status"] == "done":
             self.assertGreaterEqual(read["version"]["number"], second["number"])
@@ -111,11 +117,11 @@
         self.assertEqual((await self.put_at_any(followers, "third"))["number"], second["number"] + 1)
 
     @with_fleet
-    async def test_one_side_of_a_partition_writes_a_version(self, play: Play) -> None:
-        leader, followers = await self.leader_and_followers(play)
+    async def test_one_side_of_a_partition_writes_a_version(self, process_run: ProcessRun) -> None:
+        leader, followers = await self.leader_and_followers(process_run)
         self.assertEqual((await put(leader, "first"))["version"]["number"], 1)
-        for relay in [*play.fleet.to(leader.name), *leader.reach.values()]:
-            if relay is not play.fleet.writers[leader.name]:
+        for relay in [*process_run.fleet.relays_to(leader.name), *leader.peer_relays.values()]:
+            if relay is not process_run.fleet.writers[leader.name]:
                 relay.begin("silent")
         begun = time.monotonic()
         left = asyncio.ensure_future(put(leader, "left", 6.0, if_version=1))
@@ -124,70 +130,72 @@
         self.assertLess(time.monotonic() - begun, 4.0)
         self.assertIn(answer["status"], ("unknown", "elsewhere"))
         self.assertEqual(right["number"], 2)
-        for relay in [*play.fleet.to(leader.name), *leader.reach.values()]:
-            if relay is not play.fleet.writers[leader.name]:
+        for relay in [*process_run.fleet.relays_to(leader.name), *leader.peer_relays.values()]:
+            if relay is not process_run.fleet.writers[leader.name]:
                 relay.end("silent")
-        await wait_until_converged(play)
-        found = await put((await self.leader_and_followers(play))[0], "left", if_version=1)
+        await wait_until_converged(process_run)
+        found = await put((await self.leader_and_followers(process_run))[0], "left", if_version=1)
         self.assertEqual((found["status"], found["latest"]["request"]), ("conflict", "right"))
 
     @with_fleet
-    async def test_a_retry_after_a_lost_reply_writes_one_version(self, play: Play) -> None:
-        leader, followers = await self.leader_and_followers(play)
-        play.fleet.writers[leader.name].begin("silent_in")
+    async def test_a_retry_after_a_lost_reply_writes_one_version(self, process_run: ProcessRun) -> None:
+        leader, followers = await self.leader_and_followers(process_run)
+        process_run.fleet.writers[leader.name].begin("silent_in")
         self.assertEqual(await put(leader, "once", 0.5), {})
         await leader.end()
         self.assertEqual((await self.put_at_any(followers, "once"))["number"], 1)
         self.assertEqual((await self.put_at_any(followers, "twice"))["number"], 2)
-        play.fleet.writers[leader.name].end("silent_in")
+        process_run.fleet.writers[leader.name].end("silent_in")
         await leader.start()
 
     @with_fleet
-    async def test_a_partitioned_follower_raises_no_terms(self, play: Play) -> None:
-        leader, followers = await self.leader_and_followers(play)
-        terms = {row["term"] for row in (await play.statuses()).values()}
-        for relay in followers[0].reach.values():
+    async def test_a_partitioned_follower_raises_no_terms(self, process_run: ProcessRun) -> None:
+        leader, followers = await self.leader_and_followers(process_run)
+        terms = {row["term"] for row in (await process_run.operator.statuses()).values()}
+        for relay in followers[0].peer_relays.values():
             relay.begin("silent_out")
         for at in range(12):  # a second and more: three election times
             await asyncio.sleep(0.1)
             await self.put_at_any([leader, followers[1]], f"r{at}")
-        for relay in followers[0].reach.values():
+        for relay in followers[0].peer_relays.values():
             relay.end("silent_out")
-        await wait_until_converged(play)
-        self.assertEqual({row["term"] for row in (await play.statuses()).values()}, terms)
+        await wait_until_converged(process_run)
+        self.assertEqual({row["term"] for row in (await process_run.operator.statuses()).values()}, terms)
 
     @with_fleet
-    async def test_a_wiped_member_votes_again_once_it_is_added_again(self, play: Play) -> None:
-        leader, followers = await self.leader_and_followers(play)
+    async def test_a_wiped_member_votes_again_once_it_is_added_again(self, process_run: ProcessRun) -> None:
+        leader, followers = await self.leader_and_followers(process_run)
         await put(leader, "first")
-        await play.lose("wipe", followers[0].name)
+        await process_run.faults.lose_writes("wipe", followers[0].name)
         await self.put_at_any([leader, *followers], "second")
-        await wait_for(functools.partial(self.votes, play, followers[0].name))
+        await wait_for(functools.partial(self.votes, process_run, followers[0].name))
 
-    async def votes(self, play: Play, name: str) -> bool:
-        rows = (await play.statuses()).values()
+    async def votes(self, process_run: ProcessRun, name: str) -> bool:
+        rows = (await process_run.operator.statuses()).values()
         return all(row.get("members", {}).get(name, {}).get("votes") for row in rows)
 
     @with_fleet
-    async def test_a_failed_disk_bars_a_member_until_its_restart(self, play: Play) -> None:
+    async def test_a_failed_disk_bars_a_member_until_its_restart(self, process_run: ProcessRun) -> None:
         for fault, text in (("disk_full", "disk fails"), ("fsync_fails", "input/output error")):
-            leader, followers = await self.leader_and_followers(play)
+            leader, followers = await self.leader_and_followers(process_run)
             getattr(leader, fault)(True)
             await self.put_at_any([leader, *followers], fault)
-            status = (await wait_for(functools.partial(self.barred, play, leader.name)))["why"]
+            status = (await wait_for(functools.partial(self.barred, process_run, leader.name)))["why"]
             self.assertIn(text, status)
             getattr(leader, fault)(False)
             await leader.end(signal.SIGTERM)
             await leader.start()
-            await wait_until_converged(play)
+            await wait_until_converged(process_run)
 
-    async def barred(self, play: Play, name: str) -> dict[str, Any] | None:
-        row = (await play.statuses())[name]
+    async def barred(self, process_run: ProcessRun, name: str) -> dict[str, Any] | None:
+        row = (await process_run.operator.statuses())[name]
         return row if row.get("role") == "barred" else None
 
     @with_fleet
-    async def test_foreign_and_malformed_requests_are_refused_and_counted(self, play: Play) -> None:
-        leader, followers = await self.leader_and_followers(play)
+    async def test_foreign_and_malformed_requests_are_refused_and_counted(
+        self, process_run: ProcessRun
+    ) -> None:
+        leader, followers = await self.leader_and_followers(process_run)
         stamp = StorageIdentity("x", 1, "y", 0, 0)
         for body, text in (
             (encode(Envelope("other", FORMAT, "c2", leader.name, stamp, StorageCheck())), b"fleet 'other'"),
@@ -222,13 +230,13 @@
         ):
             value = (await call(leader.address, "POST", path, body)).value
             self.assertEqual((value["status"], text in value["why"]), ("refused", True), value)
-        refused = (await play.statuses())[leader.name]["refused"]
+        refused = (await process_run.operator.statuses())[leader.name]["refused"]
         self.assertEqual(sum(refused.values()), 3)
         await self.put_at_any([leader, *followers], "goes-on")
 
     @with_fleet
-    async def test_a_folder_in_use_is_refused(self, play: Play) -> None:
-        leader, _ = await self.leader_and_followers(play)
+    async def test_a_folder_in_use_is_refused(self, process_run: ProcessRun) -> None:
+        leader, _ = await self.leader_and_followers(process_run)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -251,10 +259,10 @@
             longest=1.0,
         )
         scenario = Scenario("mixed", seconds=6.0, settle=12.0, drawn=drawn, writers=Writers(3))
-        played = asyncio.run(real.played(scenario, 5))
-        self.assertEqual(played.faults, [])
-        self.assertGreater(played.operations["put"], 20)
-        self.assertGreater(len(played.befell), 1)
+        result = asyncio.run(real.run_scenario(scenario, 5))
+        self.assertEqual(result.violations, [])
+        self.assertGreater(result.operations["put"], 20)
+        self.assertGreater(len(result.fault_log), 1)
         scenario = Scenario("mutant", seconds=2.0, settle=5.0, writers=Writers(3))
-        played = asyncio.run(real.played(scenario, 5, "compares_nothing"))
-        self.assertIn("linearizable", [each["rule"] for each in played.faults])
+        result = asyncio.run(real.run_scenario(scenario, 5, "compares_nothing"))
+        self.assertIn("linearizable", [each["rule"] for each in result.violations])
