--- a/foxspread/cli/processes.py
+++ b/foxspread/cli/processes.py
@@ -20,6 +20,7 @@
     virtual,
 )
 from foxspread.lab.processes.scenario import Scenario
+from foxspread.lab.processes.simulation_plan import Plan
 from foxspread.lab.scenario import ScenarioError, SocketsError
 
 FILE = click.Path(exists=True, dir_okay=False)
@@ -51,26 +52,26 @@
 @JSON
 def run(file: str, seeds: range, mutant: str | None, as_json: bool) -> None:
     """Real processes on loopback, one run a seed. Exit code 1 where a rule is broken."""
-    played_scenario, broken = loaded(file), False
+    named_scenario, broken = loaded(file), False
     for seed in seeds:
         try:
-            played = asyncio.run(real.played(played_scenario, seed, mutant or ""))
+            result = asyncio.run(real.run_scenario(named_scenario, seed, mutant or ""))
         except SocketsError as error:
             raise click.ClickException(str(error)) from None
-        broken |= bool(played.faults)
+        broken |= bool(result.violations)
         if as_json:
-            click.echo(json.dumps(asdict(played)))
+            click.echo(json.dumps(result.as_row()))
             continue
-        counts = ", ".join(f"{count} {kind}" for kind, count in sorted(played.operations.items()))
+        counts = ", ".join(f"{count} {kind}" for kind, count in sorted(result.operations.items()))
         click.echo(
-            f"seed {seed}: {played.versions} versions; {counts}; {len(played.befell)} faults befell; "
-            f"longest without a put {played.worst:.2f} s; "
-            + ("rules broken:" if played.faults else "no rule broken")
+            f"seed {seed}: {result.versions} versions; {counts}; {len(result.fault_log)} faults befell; "
+            f"longest without a put {result.longest_without_put:.2f} s; "
+            + ("rules broken:" if result.violations else "no rule broken")
         )
-        for each in played.faults:
+        for each in result.violations:
             click.echo(f"  {each['rule']}: {each['text']}")
-        if played.faults:
-            click.echo("  befell: " + "; ".join(played.befell))
+        if result.violations:
+            click.echo("  befell: " + "; ".join(result.fault_log))
     sys.exit(1 if broken else 0)
 
 
@@ -84,15 +85,15 @@
     befell: list[str]
 
 
-def searched(plan: virtual.Plan, seed: int, mutant: str) -> SeedResult:
+def searched(plan: Plan, seed: int, mutant: str) -> SeedResult:
     """Plays a seed in virtual time. Every third seed has five members."""
     plan = plan if seed % 3 or plan.members != 3 else replace(plan, members=5)
     if mutant:
         plan = mutants.plan(mutants.MUTANTS[mutant], plan)
     world = virtual.World(plan, seed, mutants.MUTANTS[mutant].broken if mutant else None)
-    judge = world.play()
-    faults = [{"rule": fault.rule, "text": fault.text} for fault in judge.faults]
-    return SeedResult(seed, len(judge.ops), faults, world.told)
+    judge = world.run()
+    faults = [{"rule": fault.rule, "text": fault.text} for fault in judge.violations]
+    return SeedResult(seed, len(judge.operations), faults, world.fault_log)
 
 
 @processes.command()
@@ -137,16 +138,16 @@
     kind = mutants.MUTANTS[mutant].broken.member if mutant else explorer.RaftNode
     result = explorer.Explorer(bounds, kind).explore()
     if as_json:
-        click.echo(json.dumps(asdict(result)))
+        click.echo(json.dumps(result.as_row()))
     else:
         click.echo(
             f"{case}: {result.states} states to depth {result.depth}"
-            f"{', which are all there are' if result.whole else ''}, {result.seconds:.1f} s; "
-            f"{result.fault or 'no rule broken'}"
+            f"{', which are all there are' if result.complete else ''}, {result.seconds:.1f} s; "
+            f"{result.violation or 'no rule broken'}"
         )
         for step in result.path:
             click.echo(f"  {step}")
-    sys.exit(1 if result.fault else 0)
+    sys.exit(1 if result.violation else 0)
 
 
 @processes.command("mutants")
