--- a/foxspread/lab/processes/fleet_rules_processes.py
+++ b/foxspread/lab/processes/fleet_rules_processes.py
@@ -17,9 +17,9 @@
 from foxspread.fleet_rules.lease_holder import Mode
 from foxspread.fleet_rules.version_content import parse_version
 from foxspread.lab.processes.fleet import Fleet
+from foxspread.lab.processes.fleet_operator import ERRORS
 from foxspread.lab.processes.lease_holder_process import ActRecord
 from foxspread.lab.processes.random_versions import random_version
-from foxspread.lab.processes.fleet_operator import ERRORS
 from foxspread.lab.processes.real import ProcessRun
 from foxspread.lab.processes.scenario import Scenario
 from foxspread.lab.processes.sidecar_process import SidecarProcess
--- a/foxspread/lab/processes/fleet_rules_simulation.py
+++ b/foxspread/lab/processes/fleet_rules_simulation.py
@@ -16,8 +16,8 @@
 from foxspread.lab.processes import simulation_plan
 from foxspread.lab.processes.judge import Judge, Violation
 from foxspread.lab.processes.random_versions import random_version
-from foxspread.lab.processes.simulated_sidecar import Reply, SimulatedProcess, SimulatedSidecar
 from foxspread.lab.processes.simulated_node import SimulatedNode
+from foxspread.lab.processes.simulated_sidecar import Reply, SimulatedProcess, SimulatedSidecar
 from foxspread.lab.processes.simulation_plan import Plan
 from foxspread.lab.processes.virtual import World
 
--- a/foxspread/lab/processes/singleton_simulation.py
+++ b/foxspread/lab/processes/singleton_simulation.py
@@ -14,8 +14,8 @@
 from foxspread.lab.processes import simulation_plan
 from foxspread.lab.processes.fleet_rules_simulation import NODE_FAULTS, SIDECAR_FAULTS, ProcessWorld
 from foxspread.lab.processes.judge import Judge, Violation
-from foxspread.lab.processes.singleton_instance import PAY, ROLES, Instance, Receiver, TokenQuery
 from foxspread.lab.processes.simulated_node import SimulatedNode
+from foxspread.lab.processes.singleton_instance import PAY, ROLES, Instance, Receiver, TokenQuery
 from foxspread.singleton.fencing import FencingGuard
 from foxspread.singleton.lease_holder import RoleLeaseHolder
 from foxspread.singleton.lease_manager import RoleLeaseManager
